--- a/decide/dispatch/directory.go
+++ b/decide/dispatch/directory.go
@@ -9,14 +9,14 @@
 	"github.com/auburnmoor/auburnmoor/peerpb"
 )
 
-// pool is the engines that serve one model.
+// pool holds the engines that serve one model.
 type pool struct {
 	engines []*EngineInfo
 	ring    place.Ring
 }
 
-// directory is the entry's view of the engines, indexed for placement whose
-// cost does not grow with the fleet.
+// directory is the entry's view of the engines, indexed so that the cost of a
+// placement does not grow with their number.
 type directory struct {
 	byName map[string]*EngineInfo
 	pools  map[string]*pool
@@ -49,12 +49,12 @@
 	return d
 }
 
-// drawsPerCandidate bounds the random draws for one candidate, so that the
-// cost of placement is constant even when most engines are unsuitable.
+// drawsPerCandidate bounds the random draws per candidate, so that the cost of
+// a placement is constant even when most engines are unsuitable.
 const drawsPerCandidate = 8
 
-// candidates appends to buf up to n engines for a job: the one that prompts
-// with this prefix hash to, then random ones.
+// candidates appends up to n engines for a job to buf: the one that the job's
+// prefix hashes to, for cache affinity, then random ones.
 func (p *pool) candidates(buf []*EngineInfo, j *peerpb.Job, n int, r *rand.Rand, unsuitable func(*EngineInfo) bool) []*EngineInfo {
 	if len(j.Prefix) > 0 {
 		if e := p.engines[p.ring.Lookup(j.Prefix[0])]; !unsuitable(e) {
@@ -71,11 +71,11 @@
 	return buf
 }
 
-// largest returns the largest KV memory in the pool; zero means unknown.
-func (p *pool) largest() int64 {
-	best := int64(0)
+// maxKVTotal returns the largest KV memory in the pool, or zero if none is known.
+func (p *pool) maxKVTotal() int64 {
+	largest := int64(0)
 	for _, e := range p.engines {
-		best = max(best, e.KVTotal)
+		largest = max(largest, e.KVTotal)
 	}
-	return best
+	return largest
 }
--- a/decide/dispatch/gang.go
+++ b/decide/dispatch/gang.go
@@ -12,55 +12,54 @@
 	"github.com/auburnmoor/auburnmoor/result"
 )
 
-// A gang is the set of engines that hold the KV cache of a prompt larger than
-// the memory of one. Engines are reserved one after the other in the order of
-// their names, so two gangs never wait for each other; each reservation
-// expires unless its entry renews it, so nothing stays reserved when the entry
-// dies half-way.
-
-// gangFill is the part of an engine's memory that one segment may take. It
-// leaves room for the small requests that share the engine.
-const gangFill = 0.45
-
-// gangChoice is how many engines are asked for each one that is needed, so
-// that a gang can avoid those with little memory free.
-const gangChoice = 2
-
-// askGang asks the larger engines when they could hold a segment.
-func (n *Node) askGang(now time.Duration, r *request, p *pool) {
-	drawn := slices.Clone(p.engines)
-	n.rand.Shuffle(len(drawn), func(i, j int) { drawn[i], drawn[j] = drawn[j], drawn[i] })
-	slices.SortStableFunc(drawn, func(a, b *EngineInfo) int { return cmp.Compare(b.KVTotal, a.KVTotal) })
-	enough := gangSize(r, drawn)
-	if enough == 0 {
-		n.fail(now, r, refusal(result.TooLongForFleet, 0, "no set of engines can hold %d tokens", r.job.PromptTokens+r.job.MaxTokens))
+// A gang is the set of engines that hold the KV cache of a prompt too large for
+// the memory of one. Engines are reserved one by one in the order of their
+// names, so that two gangs cannot deadlock. Each reservation expires unless its
+// entry renews it, so that none outlives an entry that fails midway.
+
+// gangMemoryShare is the share of an engine's memory that one segment may take.
+// The rest is left to the small requests on the same engine.
+const gangMemoryShare = 0.45
+
+// gangOversampling is the number of engines asked for a quote per engine needed,
+// so that a gang can avoid those with little free memory.
+const gangOversampling = 2
+
+// requestGangQuotes asks the largest engines when they could hold a segment.
+func (n *Node) requestGangQuotes(now time.Duration, r *request, p *pool) {
+	sorted := slices.Clone(p.engines)
+	n.rand.Shuffle(len(sorted), func(i, j int) { sorted[i], sorted[j] = sorted[j], sorted[i] })
+	slices.SortStableFunc(sorted, func(a, b *EngineInfo) int { return cmp.Compare(b.KVTotal, a.KVTotal) })
+	size := gangSize(r, sorted)
+	if size == 0 {
+		n.fail(now, r, refusalError(result.TooLongForFleet, 0, "no set of engines can hold %d tokens", r.job.PromptTokens+r.job.MaxTokens))
 		return
 	}
-	drawn = drawn[:min(len(drawn), gangChoice*enough)]
+	sorted = sorted[:min(len(sorted), gangOversampling*size)]
 	r.attempt++
-	job := r.budget(now)
+	job := r.attemptJob(now)
 	job.Prefix = nil
-	job.HoldTokens = capacity(drawn[len(drawn)-1])
+	job.HoldTokens = segmentCapacity(sorted[len(sorted)-1])
 	job.PromptTokens, job.MaxTokens = job.HoldTokens, 0
-	n.sendQuotes(r, job, drawn)
+	n.sendQuoteRequests(r, job, sorted)
 }
 
-// gangSize returns how many of the engines in this order hold the prompt, or
-// zero if all together cannot.
+// gangSize returns how many of the engines, taken in order, suffice to hold the
+// request, or zero if all of them together do not.
 func gangSize(r *request, engines []*EngineInfo) int {
 	need := r.job.PromptTokens + r.job.MaxTokens
 	for i, e := range engines {
-		if need -= capacity(e); need <= 0 {
+		if need -= segmentCapacity(e); need <= 0 {
 			return i + 1
 		}
 	}
 	return 0
 }
 
-// formGang takes the engines that are free first and reserves them in the
-// global order.
+// formGang selects the engines with the earliest quotes and reserves them in
+// the order of their names.
 func (n *Node) formGang(now time.Duration, r *request) {
-	slices.SortStableFunc(r.quotes, func(a, b quote) int { return cmp.Compare(a.first, b.first) })
+	slices.SortStableFunc(r.quotes, func(a, b quote) int { return cmp.Compare(a.firstToken, b.firstToken) })
 	var free []*EngineInfo
 	for _, q := range r.quotes {
 		if e := n.dir.byName[q.engine]; e != nil && q.code == result.OK {
@@ -69,7 +68,7 @@
 	}
 	size := gangSize(r, free)
 	if size == 0 {
-		n.gangLater(now, r, "too few engines are free")
+		n.scheduleGangRetry(now, r, "too few engines are free")
 		return
 	}
 	members := free[:size]
@@ -77,33 +76,34 @@
 	n.counts.Gangs++
 	r.job.Gang = uint32(size)
 	r.state = reserving
-	r.parts = n.segments(now, r, members)
+	r.parts = n.splitPrompt(now, r, members)
 	for _, p := range r.parts {
 		n.parts[p.id] = p
 	}
 	n.acquire(now, r.parts[0])
 }
 
-func capacity(e *EngineInfo) int64 { return int64(gangFill * float64(e.KVTotal)) }
+// segmentCapacity returns the number of tokens that a segment may hold on e.
+func segmentCapacity(e *EngineInfo) int64 { return int64(gangMemoryShare * float64(e.KVTotal)) }
 
-// segments cuts the prompt in proportion to the members' memory. The last
-// member also holds the answer.
-func (n *Node) segments(now time.Duration, r *request, members []*EngineInfo) []*part {
+// splitPrompt splits the prompt among the members in proportion to their memory.
+// The last member also holds the answer.
+func (n *Node) splitPrompt(now time.Duration, r *request, members []*EngineInfo) []*part {
 	total := int64(0)
 	for _, e := range members {
-		total += capacity(e)
+		total += segmentCapacity(e)
 	}
 	need := r.job.PromptTokens + r.job.MaxTokens
 	from, parts := int64(0), make([]*part, 0, len(members))
 	for i, e := range members {
-		size := need * capacity(e) / total
+		size := need * segmentCapacity(e) / total
 		to := from + size
 		last := i == len(members)-1
 		if last {
 			to = r.job.PromptTokens
 		}
-		p := &part{req: r, id: fmt.Sprintf("%s#%d", r.job.Id, i), index: i, engine: e.Name, from: from, to: to}
-		p.job = r.budget(now)
+		p := &part{req: r, id: fmt.Sprintf("%s#%d", r.job.Id, i), index: i, engine: e.Name, fromToken: from, toToken: to}
+		p.job = r.attemptJob(now)
 		p.job.Id, p.job.Gang, p.job.Prefix = p.id, uint32(len(members)), nil
 		p.job.PromptTokens, p.job.HoldTokens = to-from, to-from
 		if last {
@@ -119,72 +119,72 @@
 
 func (n *Node) acquire(now time.Duration, p *part) {
 	p.state = partWaiting
-	p.giveUpAt = now + n.cfg.GangPatience
+	p.grantDeadline = now + n.cfg.GangGrantTimeout
 	p.job.RemainingUs = (p.req.deadline - now).Microseconds()
 	n.sendReserve(p)
 }
 
-// gangGranted takes the next engine, or starts the first segment when every
-// engine is reserved. The second grant of a part lets it run.
-func (n *Node) gangGranted(now time.Duration, p *part) {
+// onGangGrant handles the two grants of a part: the first reserves its memory,
+// and the gang's next engine is reserved; the second starts the segment.
+func (n *Node) onGangGrant(now time.Duration, p *part) {
 	if p.ready {
 		n.startSegment(now, p)
 		return
 	}
-	p.giveUpAt = 0
+	p.grantDeadline = 0
 	if p.index+1 < len(p.req.parts) {
 		n.acquire(now, p.req.parts[p.index+1])
 		return
 	}
-	n.readySegment(p.req.parts[0])
+	n.announceReady(p.req.parts[0])
 }
 
-// readySegment asks the owner for the turn of a part whose predecessors are
+// announceReady asks the owner to schedule a part whose preceding segments are
 // complete.
-func (n *Node) readySegment(p *part) {
+func (n *Node) announceReady(p *part) {
 	p.ready, p.state = true, partWaiting
-	n.progress(p, peerpb.Stage_STAGE_READY)
+	n.reportProgress(p, peerpb.Stage_STAGE_READY)
 }
 
 func (n *Node) startSegment(now time.Duration, p *part) {
-	seg := &Segment{FromToken: p.from, ToToken: p.to, Last: p.index == len(p.req.parts)-1}
+	seg := &Segment{FromToken: p.fromToken, ToToken: p.toToken, Last: p.index == len(p.req.parts)-1}
 	for _, o := range p.req.parts[:p.index] {
-		seg.Import = append(seg.Import, engine.Handle{Engine: o.engine, ID: o.stream(), Tokens: o.to - o.from})
+		seg.Import = append(seg.Import, engine.Handle{Engine: o.engine, ID: o.streamID(), Tokens: o.toToken - o.fromToken})
 	}
 	n.start(now, p, seg)
 }
 
-func (n *Node) streamHeld(now time.Duration, ev StreamHeld) {
+func (n *Node) onStreamHeld(now time.Duration, ev StreamHeld) {
 	p := n.parts[ev.ID]
 	if p == nil || p.job.Attempt != ev.Attempt || p.state != partStarted {
 		return
 	}
-	p.state = partFirst
-	p.giveUpAt = 0
-	n.progress(p, peerpb.Stage_STAGE_FIRST_TOKEN)
+	p.state = partFirstToken
+	p.grantDeadline = 0
+	n.reportProgress(p, peerpb.Stage_STAGE_FIRST_TOKEN)
 	if p.index+1 < len(p.req.parts) {
-		n.readySegment(p.req.parts[p.index+1])
+		n.announceReady(p.req.parts[p.index+1])
 	}
 }
 
-// retryGang gives back everything and forms the gang anew after a pause.
-func (n *Node) retryGang(now time.Duration, r *request, why string) {
-	r.record.verdict(why)
+// restartGang releases all parts and schedules another attempt to form a gang.
+func (n *Node) restartGang(now time.Duration, r *request, reason string) {
+	r.record.setVerdict(reason)
 	n.release(r, peerpb.Stage_STAGE_CANCELLED)
 	n.counts.Retries++
-	n.gangLater(now, r, why)
+	n.scheduleGangRetry(now, r, reason)
 }
 
-// Delays between two tries to form a gang.
+// Backoff between two attempts to form a gang.
 const (
-	gangRetryBase  = 200 * time.Millisecond
-	gangRetryLimit = 5 * time.Second
+	gangRetryBaseDelay = 200 * time.Millisecond
+	gangRetryMaxDelay  = 5 * time.Second
 )
 
-// gangLater tries again until the request's time is up: such a request may
-// wait, and no other engine could take it.
-func (n *Node) gangLater(now time.Duration, r *request, why string) {
-	r.record.candidate("", 0, why)
+// scheduleGangRetry backs off and tries again until the request's deadline:
+// such requests tolerate a wait, and no single engine could run them instead.
+func (n *Node) scheduleGangRetry(now time.Duration, r *request, reason string) {
+	r.record.addCandidate("", 0, reason)
 	r.round++
-	n.pause(now, r, retry.Backoff(n.rand, gangRetryBase, gangRetryLimit, r.round))
+	n.backOff(now, r, retry.Backoff(n.rand, gangRetryBaseDelay, gangRetryMaxDelay, r.round))
 }
--- a/decide/dispatch/seam.go
+++ b/decide/dispatch/machine.go
@@ -1,10 +1,10 @@
-// Package dispatch decides where a request runs, when, and what happens when
-// that fails. Node combines the two roles that every instance has: the entry
-// of its callers' requests and the owner of some engines.
+// Package dispatch places requests on engines and handles failed attempts. Node
+// combines the two roles of every instance: the entry of its callers' requests
+// and the owner of some engines, which schedules their work.
 //
 // A Node does no I/O, starts no goroutine and reads no clock. A driver calls
-// Step with the time and one event and carries out the returned actions: the
-// daemon's duties do so on real connections, the experiments in virtual time.
+// Step with the time and one event and executes the returned actions: the
+// server on real connections, the simulator in virtual time.
 package dispatch
 
 import (
@@ -15,24 +15,24 @@
 	"github.com/auburnmoor/auburnmoor/result"
 )
 
-// Machine is the seam between decisions and their driver. The actions are
-// valid until the next call of Step.
+// Machine is the interface between decision logic and its driver. The returned
+// actions are valid until the next call of Step.
 type Machine interface {
 	Step(now time.Duration, ev Event) []Action
 }
 
-// Event is an input of a Machine.
+// Event is an input to a Machine.
 type Event interface{ event() }
 
-// Arrive is a new request of a caller. Its job's RemainingUs is the whole time
-// that the request has.
+// Arrive is a new request from a caller. Job.RemainingUs is the request's whole
+// time limit.
 type Arrive struct {
 	Job *peerpb.Job
 	// Once forbids a second attempt after a byte may have reached an engine.
 	Once bool
 }
 
-// Received is a message of another instance.
+// Received is a message from another instance.
 type Received struct {
 	From string
 	Env  *peerpb.Envelope
@@ -45,20 +45,23 @@
 	Cached  int64
 }
 
-// StreamHeld reports that a part's KV cache is complete and kept.
+// StreamHeld reports that a part's KV cache is complete and kept by the engine.
 type StreamHeld struct {
 	ID      string
 	Attempt uint32
 }
 
-// Fault is how a stream ended.
+// Fault is the way in which a stream ended.
 type Fault int
 
-// The faults of a stream. NotSent promises that no byte reached the engine.
+// The faults of a stream.
 const (
 	NoFault Fault = iota
+	// NotSent guarantees that no byte reached the engine.
 	NotSent
+	// Refused means that the engine rejected the request or made no progress.
 	Refused
+	// Broken means that the connection failed; the stream may be resumed.
 	Broken
 )
 
@@ -67,11 +70,11 @@
 	ID      string
 	Attempt uint32
 	Fault   Fault
-	// Shown tells that the caller has seen a part of the answer.
+	// Shown is set if a part of the answer was sent to the caller.
 	Shown bool
 }
 
-// CallerGone reports that nobody waits for the answer any more.
+// CallerGone reports that the caller disconnected.
 type CallerGone struct{ ID string }
 
 // EngineReport carries an engine's load report and cache events to its owner.
@@ -86,19 +89,19 @@
 // Directory replaces the list of engines and their owners.
 type Directory struct{ Engines []EngineInfo }
 
-// EngineInfo is what an entry knows of an engine.
+// EngineInfo is an entry's view of an engine.
 type EngineInfo struct {
 	Name    string
 	Models  []string
-	KVTotal int64
+	KVTotal int64 // in tokens; zero if unknown
 	Owner   string
 	Leaving bool
 }
 
-// Tick lets time pass; it is due every TickEvery.
+// Tick advances the timers; the driver sends one every TickEvery.
 type Tick struct{}
 
-// TickEvery is the period of Tick; it bounds how late a deadline is noticed.
+// TickEvery is the period of Tick and bounds how late a deadline is detected.
 const TickEvery = 10 * time.Millisecond
 
 func (Arrive) event()       {}
@@ -115,13 +118,13 @@
 // Action is an output of a Machine.
 type Action interface{ action() }
 
-// Send passes a message to another instance; it may be lost.
+// Send sends a message to another instance. Delivery is not guaranteed.
 type Send struct {
 	To  string
 	Env *peerpb.Envelope
 }
 
-// Start hands a part of a request to an engine.
+// Start starts a part of a request on an engine.
 type Start struct {
 	Request  string
 	ID       string
@@ -134,22 +137,22 @@
 	Segment *Segment
 }
 
-// Segment is the share of a prompt that one engine of a gang holds.
+// Segment is the range of a prompt's tokens that one engine of a gang holds.
 type Segment struct {
 	FromToken, ToToken int64
-	// Last is the segment whose engine generates the answer.
+	// Last marks the segment whose engine generates the answer.
 	Last bool
-	// Import lists the engines and streams that hold the segments before.
+	// Import lists the engines and streams that hold the preceding segments.
 	Import []engine.Handle
 }
 
-// Cancel ends a stream or a held KV cache at an engine.
+// Cancel ends a stream at an engine and frees its KV cache.
 type Cancel struct {
 	Engine string
 	Stream string
 }
 
-// Finish fails a request; a success is seen by the stream itself.
+// Finish fails a request. A successful one ends with its stream instead.
 type Finish struct {
 	ID  string
 	Err *result.Error
--- a/decide/dispatch/node.go
+++ b/decide/dispatch/node.go
@@ -14,32 +14,33 @@
 // Config tunes a Node.
 type Config struct {
 	Sched sched.Config
-	// Candidates is how many engines are asked for a prediction.
+	// Candidates is the number of engines asked for a prediction.
 	Candidates int
 	// QuoteTimeout bounds the wait for predictions.
 	QuoteTimeout time.Duration
-	// Rounds is how often other candidates are asked after refusals.
-	Rounds int
-	// RetryShare and EjectShare are the limits of the manifest.
+	// MaxRounds bounds the rounds of candidates asked when all refuse.
+	MaxRounds int
+	// RetryShare is the maximum of retries per success, EjectShare the maximum
+	// share of engines ejected.
 	RetryShare float64
 	EjectShare float64
 	// RenewEvery is the period of reservation renewals; it must be well below
 	// Sched.Expiry.
 	RenewEvery time.Duration
-	// GangPatience bounds how long the engines reserved first wait for the rest.
-	GangPatience time.Duration
+	// GangGrantTimeout bounds the wait for each reservation of a gang.
+	GangGrantTimeout time.Duration
 }
 
-// DefaultConfig returns the values chosen by measurement.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
-		Sched: sched.DefaultConfig(), Candidates: 3, QuoteTimeout: 50 * time.Millisecond, Rounds: 2,
+		Sched: sched.DefaultConfig(), Candidates: 3, QuoteTimeout: 50 * time.Millisecond, MaxRounds: 2,
 		RetryShare: 0.1, EjectShare: 0.3, RenewEvery: 2 * time.Second,
-		GangPatience: 10 * time.Second,
+		GangGrantTimeout: 10 * time.Second,
 	}
 }
 
-// Node is the decision machine of one instance.
+// Node implements Machine for one instance.
 type Node struct {
 	self     string
 	cfg      Config
@@ -50,19 +51,19 @@
 	health   *health.Tracker
 	requests map[string]*request
 	parts    map[string]*part
-	// active and engines fix the order of iteration, so that a run with the
-	// same seed decides the same.
-	active  []*request
-	engines []*sched.Engine
-	budget  *retry.Budget
-	records records
-	renewAt time.Duration
-	counts  Counts
-	out     []Action
-	inbox   []*peerpb.Envelope
-}
-
-// Counts are totals since the start.
+	// active and engines are iterated instead of the maps requests and owned, so
+	// that runs with the same seed make the same decisions.
+	active       []*request
+	engines      []*sched.Engine
+	retryBudget  *retry.Budget
+	records      records
+	renewAt      time.Duration
+	counts       Counts
+	actions      []Action
+	selfMessages []*peerpb.Envelope
+}
+
+// Counts are totals since the instance started.
 type Counts struct {
 	Arrived   uint64 `json:"arrived"`
 	Answered  uint64 `json:"answered"`
@@ -76,47 +77,47 @@
 	Deadlines uint64 `json:"deadlines_passed"`
 }
 
-// NewNode returns the machine of the instance named self.
+// NewNode returns the Node of the instance named self.
 func NewNode(self string, cfg Config, seed uint64) *Node {
 	r := rand.New(rand.NewPCG(seed, 0x5eed))
 	return &Node{
 		self: self, cfg: cfg, rand: r, dir: newDirectory(nil), owned: map[string]*sched.Engine{},
 		leaving: map[string]bool{}, health: health.NewTracker(cfg.EjectShare, r),
-		requests: map[string]*request{}, parts: map[string]*part{}, budget: retry.NewBudget(cfg.RetryShare),
+		requests: map[string]*request{}, parts: map[string]*part{}, retryBudget: retry.NewBudget(cfg.RetryShare),
 	}
 }
 
-// Step implements Machine. Messages to the node itself are handled in the same
-// step.
+// Step implements Machine. Messages of the node to itself are handled in the
+// same step.
 func (n *Node) Step(now time.Duration, ev Event) []Action {
-	n.out = n.out[:0]
+	n.actions = n.actions[:0]
 	n.handle(now, ev)
-	for len(n.inbox) > 0 {
-		env := n.inbox[0]
-		n.inbox = n.inbox[1:]
+	for len(n.selfMessages) > 0 {
+		env := n.selfMessages[0]
+		n.selfMessages = n.selfMessages[1:]
 		n.receive(now, n.self, env)
 	}
-	return n.out
+	return n.actions
 }
 
 func (n *Node) handle(now time.Duration, ev Event) {
 	switch ev := ev.(type) {
 	case Arrive:
-		n.arrive(now, ev)
+		n.onArrive(now, ev)
 	case Received:
 		n.receive(now, ev.From, ev.Env)
 	case StreamFirst:
-		n.streamFirst(now, ev)
+		n.onFirstToken(now, ev)
 	case StreamHeld:
-		n.streamHeld(now, ev)
+		n.onStreamHeld(now, ev)
 	case StreamEnd:
-		n.streamEnd(now, ev)
+		n.onStreamEnd(now, ev)
 	case CallerGone:
-		n.callerGone(now, ev.ID)
+		n.onCallerGone(now, ev.ID)
 	case EngineReport:
-		n.engineReport(now, ev)
+		n.onEngineReport(now, ev)
 	case EngineLost:
-		n.engineLost(now, ev.Engine)
+		n.onEngineLost(now, ev.Engine)
 	case Directory:
 		n.replaceDirectory(now, ev)
 	case Tick:
@@ -145,17 +146,17 @@
 
 func (n *Node) send(to string, env *peerpb.Envelope) {
 	if to == n.self {
-		n.inbox = append(n.inbox, env)
+		n.selfMessages = append(n.selfMessages, env)
 		return
 	}
 	if to == "" {
 		return
 	}
 	n.counts.Sent++
-	n.out = append(n.out, Send{To: to, Env: env})
+	n.actions = append(n.actions, Send{To: to, Env: env})
 }
 
-func (n *Node) act(a Action) { n.out = append(n.out, a) }
+func (n *Node) emit(a Action) { n.actions = append(n.actions, a) }
 
 func (n *Node) tick(now time.Duration) {
 	n.checkRequests(now)
@@ -183,14 +184,14 @@
 	n.active = kept
 }
 
-// SetLimits takes over the limits of a new configuration.
+// SetLimits applies the limits of a new configuration.
 func (n *Node) SetLimits(retryShare, ejectShare float64) {
 	n.cfg.RetryShare, n.cfg.EjectShare = retryShare, ejectShare
-	n.budget.SetShare(retryShare)
+	n.retryBudget.SetShare(retryShare)
 	n.health.SetMaxShare(ejectShare)
 }
 
-// Dump describes the node.
+// Dump is the state of a node as reported to operators.
 type Dump struct {
 	Self     string             `json:"self"`
 	Counts   Counts             `json:"counts"`
@@ -201,7 +202,7 @@
 	Records  []Record           `json:"records"`
 }
 
-// Dump returns a copy of the node's state that is bounded in size.
+// Dump returns a copy of the node's state, of bounded size.
 func (n *Node) Dump() Dump {
 	d := Dump{Self: n.self, Counts: n.counts, Engines: len(n.dir.byName), Requests: len(n.requests), Parts: len(n.parts)}
 	for _, e := range n.engines {
@@ -213,8 +214,8 @@
 	return d
 }
 
-// Load returns the number of unfinished requests and the KV tokens that this
-// node accounts for, for invariant checks.
+// Load returns the number of unfinished requests and the KV tokens reserved on
+// the owned engines, for invariant checks.
 func (n *Node) Load() (requests int, memory int64) {
 	for _, e := range n.engines {
 		memory += e.Memory()
@@ -222,6 +223,6 @@
 	return len(n.requests), memory
 }
 
-func refusal(c result.Code, after time.Duration, format string, args ...any) *result.Error {
-	return result.New(c, format, args...).After(after)
+func refusalError(c result.Code, retryAfter time.Duration, format string, args ...any) *result.Error {
+	return result.New(c, format, args...).After(retryAfter)
 }
--- a/decide/dispatch/owner.go
+++ b/decide/dispatch/owner.go
@@ -8,21 +8,21 @@
 	"github.com/auburnmoor/auburnmoor/result"
 )
 
-// ejectedRetry is when to ask again for an engine that is out of rotation.
-const ejectedRetry = time.Second
+// ejectedRetryAfter is the retry hint sent for an ejected engine.
+const ejectedRetryAfter = time.Second
 
 func (n *Node) replaceDirectory(now time.Duration, d Directory) {
-	old := n.dir
+	previous := n.dir
 	n.dir = newDirectory(d.Engines)
 	for _, e := range d.Engines {
 		if e.Owner == n.self {
-			n.own(e.Name)
+			n.takeOverEngine(e.Name)
 			n.setLeaving(now, e.Name, e.Leaving)
 		}
 	}
 	for name := range n.owned {
 		if info := n.dir.byName[name]; info == nil || info.Owner != n.self {
-			n.disown(name)
+			n.forgetEngine(name)
 		}
 	}
 	n.engines = n.engines[:0]
@@ -31,42 +31,43 @@
 			n.engines = append(n.engines, o)
 		}
 	}
-	// A new owner knows nothing of what runs; it learns it from the entries at
-	// once instead of at the next renewal.
+	// A new owner has no record of the running requests. Renewing at once spares
+	// it the wait for the next periodic renewal.
 	n.renewAll(func(p *part) bool {
-		was, is := old.byName[p.engine], n.dir.byName[p.engine]
-		return was != nil && is != nil && was.Owner != is.Owner
+		before, after := previous.byName[p.engine], n.dir.byName[p.engine]
+		return before != nil && after != nil && before.Owner != after.Owner
 	})
 }
 
-func (n *Node) own(name string) {
+func (n *Node) takeOverEngine(name string) {
 	if n.owned[name] == nil {
 		n.owned[name] = sched.NewEngine(name, n.cfg.Sched)
 		n.health.Add(name)
 	}
 }
 
-// disown forgets an engine. Its reservations live on at the entries, which
-// renew them with the new owner.
-func (n *Node) disown(name string) {
+// forgetEngine drops the state of an engine owned by another instance now. The
+// entries keep its reservations and renew them with the new owner.
+func (n *Node) forgetEngine(name string) {
 	delete(n.owned, name)
 	delete(n.leaving, name)
 	n.health.Remove(name)
 }
 
-// setLeaving stops new work for an engine and sends the requests that still
-// wait for it elsewhere.
+// setLeaving starts or stops draining an engine. A draining engine takes no new
+// work, and the requests waiting for it are rejected to be placed elsewhere.
 func (n *Node) setLeaving(now time.Duration, name string, leaving bool) {
 	if leaving == n.leaving[name] {
 		return
 	}
 	n.leaving[name] = leaving
 	if leaving {
-		n.turnAway(now, name)
+		n.rejectPending(now, name)
 	}
 }
 
-func (n *Node) turnAway(now time.Duration, name string) {
+// rejectPending drops an engine's pending reservations and notifies the entries.
+func (n *Node) rejectPending(now time.Duration, name string) {
 	for _, g := range n.owned[name].DropPending(now) {
 		n.send(g.Entry, &peerpb.Envelope{Body: &peerpb.Envelope_ReserveReply{ReserveReply: &peerpb.ReserveReply{
 			Engine: name, Id: g.ID, Attempt: g.Attempt, Refusal: uint32(result.NoBackend),
@@ -74,7 +75,7 @@
 	}
 }
 
-func (n *Node) engineReport(now time.Duration, ev EngineReport) {
+func (n *Node) onEngineReport(now time.Duration, ev EngineReport) {
 	e := n.owned[ev.Report.Engine]
 	if e == nil {
 		return
@@ -82,22 +83,22 @@
 	e.Load(now, ev.Report)
 	e.Events(ev.Events)
 	if e.Hung() {
-		n.turnAway(now, ev.Report.Engine)
+		n.rejectPending(now, ev.Report.Engine)
 		return
 	}
 	n.flushGrants(now, e)
 }
 
-func (n *Node) engineLost(now time.Duration, name string) {
+func (n *Node) onEngineLost(now time.Duration, name string) {
 	e := n.owned[name]
 	if e == nil {
 		return
 	}
 	e.Lost()
-	n.turnAway(now, name)
+	n.rejectPending(now, name)
 }
 
-// unusable returns why an owned engine takes no new work.
+// unusable reports whether an owned engine takes no new work.
 func (n *Node) unusable(now time.Duration, name string) bool {
 	return n.leaving[name] || n.owned[name].Hung() || !n.health.Usable(now, name)
 }
@@ -105,7 +106,7 @@
 func (n *Node) onQuoteRequest(now time.Duration, from string, q *peerpb.QuoteRequest) {
 	reply := &peerpb.QuoteReply{Engine: q.Engine, Id: q.Job.Id, Attempt: q.Job.Attempt}
 	if e := n.owned[q.Engine]; e != nil && e.Known() {
-		p := sched.Prediction{Refusal: result.NoBackend, RetryAfter: ejectedRetry}
+		p := sched.Prediction{Refusal: result.NoBackend, RetryAfter: ejectedRetryAfter}
 		if !n.unusable(now, q.Engine) {
 			p = e.Quote(now, q.Job)
 		}
@@ -123,7 +124,7 @@
 	reply := &peerpb.ReserveReply{Engine: q.Engine, Id: q.Job.Id, Attempt: q.Job.Attempt}
 	e := n.owned[q.Engine]
 	if e == nil || n.unusable(now, q.Engine) {
-		reply.Refusal, reply.RetryAfterUs = uint32(result.NoBackend), ejectedRetry.Microseconds()
+		reply.Refusal, reply.RetryAfterUs = uint32(result.NoBackend), ejectedRetryAfter.Microseconds()
 		n.send(from, &peerpb.Envelope{Body: &peerpb.Envelope_ReserveReply{ReserveReply: reply}})
 		return
 	}
@@ -174,7 +175,7 @@
 	}
 	e.Progress(now, p.Id, p.Attempt, p.Stage)
 	if n.unusable(now, p.Engine) || !e.Known() {
-		n.turnAway(now, p.Engine)
+		n.rejectPending(now, p.Engine)
 		return
 	}
 	n.flushGrants(now, e)
@@ -186,7 +187,7 @@
 		return
 	}
 	for _, item := range m.Items {
-		if g, again := e.Renew(now, from, item); again {
+		if g, resend := e.Renew(now, from, item); resend {
 			n.sendGrant(e.Name, g)
 		}
 	}
--- a/decide/dispatch/place_bench_test.go
+++ b/decide/dispatch/place_bench_test.go
@@ -10,45 +10,45 @@
 	"github.com/auburnmoor/auburnmoor/port/engine"
 )
 
-func fleetOf(workers int) Directory {
+func newFleet(engines int) Directory {
 	var d Directory
-	for i := range workers {
+	for i := range engines {
 		d.Engines = append(d.Engines, EngineInfo{Name: fmt.Sprintf("engine-%04d", i), Models: []string{"m"}, KVTotal: 480_000, Owner: fmt.Sprintf("entry-%d", i%350)})
 	}
 	return d
 }
 
-func benchJob(i int) *peerpb.Job {
+func testJob(i int) *peerpb.Job {
 	return &peerpb.Job{Id: fmt.Sprint("r~1~", i, "~30"), Model: "m", PromptTokens: 4000, MaxTokens: 64, Prefix: []uint64{uint64(i) * 0x9e3779b97f4a7c15, 2, 3},
 		RemainingUs: time.Minute.Microseconds(), TargetUs: time.Second.Microseconds(), Weight: 1}
 }
 
-// BenchmarkCandidates is the choice of engines to ask, at growing fleets.
+// BenchmarkCandidates measures the selection of candidates by fleet size.
 func BenchmarkCandidates(b *testing.B) {
-	for _, workers := range []int{20, 100, 350, 750} {
-		b.Run(fmt.Sprint(workers), func(b *testing.B) {
+	for _, engines := range []int{20, 100, 350, 750} {
+		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			n := NewNode("entry-x", DefaultConfig(), 1)
-			n.Step(0, fleetOf(workers))
+			n.Step(0, newFleet(engines))
 			p := n.dir.pools["m"]
-			j := benchJob(7)
+			j := testJob(7)
 			var buf [4]*EngineInfo
-			free := func(*EngineInfo) bool { return false }
+			noneUnsuitable := func(*EngineInfo) bool { return false }
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				j.Prefix[0] = uint64(i) * 0x9e3779b97f4a7c15
-				p.candidates(buf[:0], j, 3, n.rand, free)
+				p.candidates(buf[:0], j, 3, n.rand, noneUnsuitable)
 			}
 		})
 	}
 }
 
-// BenchmarkPlacement is a whole placement at the entry: arrival, three
-// predictions, reservation, grant, first token and end.
+// BenchmarkPlacement measures a whole placement at the entry: arrival, three
+// quotes, reservation, grant, first token and end.
 func BenchmarkPlacement(b *testing.B) {
-	for _, workers := range []int{20, 100, 350, 750} {
-		b.Run(fmt.Sprint(workers), func(b *testing.B) {
+	for _, engines := range []int{20, 100, 350, 750} {
+		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			n := NewNode("entry-x", DefaultConfig(), 1)
-			n.Step(0, fleetOf(workers))
+			n.Step(0, newFleet(engines))
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				placeOnce(b, n, i)
@@ -58,7 +58,7 @@
 }
 
 func placeOnce(b *testing.B, n *Node, i int) {
-	j := benchJob(i)
+	j := testJob(i)
 	now := time.Duration(i) * time.Microsecond
 	asked := make([]string, 0, 4)
 	for _, a := range n.Step(now, Arrive{Job: j}) {
@@ -78,7 +78,7 @@
 	n.active = n.active[:0]
 }
 
-// BenchmarkOwner is an owner's part of a placement with a queue in front.
+// BenchmarkOwner measures the owner's part of a placement by queue length.
 func BenchmarkOwner(b *testing.B) {
 	for _, queue := range []int{0, 50, 200} {
 		b.Run(fmt.Sprint(queue), func(b *testing.B) {
@@ -86,13 +86,13 @@
 			n.Step(0, Directory{Engines: []EngineInfo{{Name: "e", Models: []string{"m"}, KVTotal: 1 << 30, Owner: "own"}}})
 			n.Step(0, EngineReport{Report: engine.Report{Engine: "e", KVTotal: 1 << 30, PrefillPerSecond: 1e6, StepMS: 1}})
 			for i := range queue {
-				j := benchJob(1_000_000 + i)
+				j := testJob(1_000_000 + i)
 				j.RemainingUs = time.Hour.Microseconds()
 				n.Step(0, Received{From: "x", Env: &peerpb.Envelope{Body: &peerpb.Envelope_Reserve{Reserve: &peerpb.Reserve{Engine: "e", Job: j}}}})
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				j := benchJob(i)
+				j := testJob(i)
 				j.RemainingUs = time.Hour.Microseconds()
 				for _, body := range []*peerpb.Envelope{
 					{Body: &peerpb.Envelope_QuoteRequest{QuoteRequest: &peerpb.QuoteRequest{Engine: "e", Job: j}}},
@@ -107,27 +107,27 @@
 	}
 }
 
-// TestCandidatesDoNotAllocate bounds the allocations of choosing candidates,
-// which must not grow with the fleet.
+// TestCandidatesDoNotAllocate bounds the allocations of selecting candidates,
+// which must not grow with the number of engines.
 func TestCandidatesDoNotAllocate(t *testing.T) {
-	for _, workers := range []int{20, 750} {
+	for _, engines := range []int{20, 750} {
 		n := NewNode("entry-x", DefaultConfig(), 1)
-		n.Step(0, fleetOf(workers))
-		j := benchJob(1)
+		n.Step(0, newFleet(engines))
+		j := testJob(1)
 		var buf [4]*EngineInfo
-		free := func(*EngineInfo) bool { return false }
-		got := testing.AllocsPerRun(100, func() { n.dir.pools["m"].candidates(buf[:0], j, 3, n.rand, free) })
+		noneUnsuitable := func(*EngineInfo) bool { return false }
+		got := testing.AllocsPerRun(100, func() { n.dir.pools["m"].candidates(buf[:0], j, 3, n.rand, noneUnsuitable) })
 		if got > 3 {
-			t.Fatalf("%d workers: %.0f allocations", workers, got)
+			t.Fatalf("%d engines: %.0f allocations", engines, got)
 		}
 	}
 }
 
-// BenchmarkDirectory is the rebuilding of the directory at a change.
+// BenchmarkDirectory measures the rebuild of the directory after a change.
 func BenchmarkDirectory(b *testing.B) {
-	for _, workers := range []int{20, 350, 750} {
-		b.Run(fmt.Sprint(workers), func(b *testing.B) {
-			d := fleetOf(workers)
+	for _, engines := range []int{20, 350, 750} {
+		b.Run(fmt.Sprint(engines), func(b *testing.B) {
+			d := newFleet(engines)
 			for b.Loop() {
 				newDirectory(d.Engines)
 			}
@@ -135,7 +135,7 @@
 	}
 }
 
-// BenchmarkPrefix is the hashing of prompts.
+// BenchmarkPrefix measures the hashing of prompts.
 func BenchmarkPrefix(b *testing.B) {
 	for _, tokens := range []int{1_000, 100_000, 1_000_000} {
 		prompt := string(make([]byte, tokens*prefix.BytesPerToken))
--- a/decide/dispatch/record.go
+++ b/decide/dispatch/record.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// maxRecords bounds the decision records kept for the state dump.
+// maxRecords bounds the number of records kept for the state dump.
 const maxRecords = 512
 
-// Record explains the decisions on one request.
+// Record lists the placement decisions made for one request.
 type Record struct {
 	ID         string      `json:"id"`
 	Customer   string      `json:"customer"`
@@ -18,14 +18,14 @@
 	EndedMS    int64       `json:"ended_ms,omitempty"`
 }
 
-// Candidate is an engine that was considered and why it was passed over.
+// Candidate is an engine that was considered, and the reason if it was not used.
 type Candidate struct {
 	Engine       string `json:"engine"`
 	FirstTokenMS int64  `json:"first_token_ms"`
 	PassedOver   string `json:"passed_over,omitempty"`
 }
 
-// Attempt is one try at an engine.
+// Attempt is one execution of a request, or of a part of it, on an engine.
 type Attempt struct {
 	Engine  string `json:"engine"`
 	Number  uint32 `json:"number"`
@@ -33,10 +33,10 @@
 	Verdict string `json:"verdict,omitempty"`
 }
 
-// maxPerRecord bounds the candidates and attempts kept of one request.
+// maxPerRecord bounds the candidates and the attempts in one record.
 const maxPerRecord = 24
 
-// records is a ring of the last decision records.
+// records is a ring buffer of the latest records.
 type records struct {
 	ring [maxRecords]*Record
 	next int
@@ -52,19 +52,19 @@
 	return rec
 }
 
-func (rec *Record) candidate(engine string, first time.Duration, passedOver string) {
+func (rec *Record) addCandidate(engine string, firstToken time.Duration, passedOver string) {
 	if len(rec.Candidates) < maxPerRecord {
-		rec.Candidates = append(rec.Candidates, Candidate{Engine: engine, FirstTokenMS: first.Milliseconds(), PassedOver: passedOver})
+		rec.Candidates = append(rec.Candidates, Candidate{Engine: engine, FirstTokenMS: firstToken.Milliseconds(), PassedOver: passedOver})
 	}
 }
 
-func (rec *Record) attempt(now time.Duration, engine string, number uint32) {
+func (rec *Record) addAttempt(now time.Duration, engine string, number uint32) {
 	if len(rec.Attempts) < maxPerRecord {
 		rec.Attempts = append(rec.Attempts, Attempt{Engine: engine, Number: number, AtMS: now.Milliseconds()})
 	}
 }
 
-func (rec *Record) verdict(v string) {
+func (rec *Record) setVerdict(v string) {
 	if n := len(rec.Attempts); n > 0 {
 		rec.Attempts[n-1].Verdict = v
 	}
@@ -75,7 +75,7 @@
 	rec.EndedMS = now.Milliseconds()
 }
 
-// list returns the records, the newest first.
+// list returns the records, newest first.
 func (rs *records) list() []*Record {
 	var out []*Record
 	for i := rs.next - 1; i >= 0 && i >= rs.next-maxRecords; i-- {
--- a/decide/dispatch/request.go
+++ b/decide/dispatch/request.go
@@ -11,65 +11,66 @@
 type requestState int
 
 const (
-	asking requestState = iota
+	quoting requestState = iota
 	reserving
-	pausing
+	backingOff
 	running
 )
 
-// request is one caller's request until its answer or failure.
+// request is a caller's request that has not been answered or failed yet.
 type request struct {
 	job  *peerpb.Job
 	once bool
-	// wide marks a prompt that needs more than one engine.
-	wide     bool
-	state    requestState
-	deadline time.Duration
-	attempt  uint32
-	round    int
-	resumes  int
-	// reached tells that a byte of a former attempt may have reached an engine,
-	// inFlight that the present one may have.
-	reached  bool
-	inFlight bool
-	wakeAt   time.Duration
-	quotes   []quote
-	asked    int
-	tried    map[string]bool
-	best     refused
-	parts    []*part
-	record   *Record
+	// needsGang marks a request that exceeds the memory of any single engine.
+	needsGang bool
+	state     requestState
+	deadline  time.Duration
+	attempt   uint32
+	round     int
+	resumes   int
+	// sentBefore is set if a byte of an earlier attempt may have reached an
+	// engine, inFlight if a byte of the current attempt may have.
+	sentBefore      bool
+	inFlight        bool
+	wakeAt          time.Duration
+	quotes          []quote
+	quotesRequested int
+	tried           map[string]bool
+	bestRefusal     refusalHint
+	parts           []*part
+	record          *Record
 }
 
-// refused is the most helpful refusal seen so far.
-type refused struct {
-	code  result.Code
-	after time.Duration
+// refusalHint is the refusal with the shortest retry delay so far.
+type refusalHint struct {
+	code       result.Code
+	retryAfter time.Duration
 }
 
+// quote is a reply to a QuoteRequest.
 type quote struct {
-	engine string
-	first  time.Duration
-	code   result.Code
-	used   bool
-	// unready is an answer of an instance that does not own the engine, or has
-	// not heard of it since it took it over.
+	engine     string
+	firstToken time.Duration
+	code       result.Code
+	chosen     bool
+	// unready marks a reply from an instance that does not own the engine, or
+	// has had no load report since it took it over.
 	unready bool
 }
 
 type partState int
 
 const (
-	// partIdle is a gang's part whose reservation was not asked for yet.
-	partIdle partState = iota
+	// partUnreserved: the reservation was not requested yet; gangs only.
+	partUnreserved partState = iota
 	partWaiting
 	partGranted
 	partStarted
-	partFirst
+	partFirstToken
 	partEnded
 )
 
-// part is the work of a request on one engine. Most requests have one; a
+// part is the work of a request on one engine. Most requests have one part; a
 // prompt larger than an engine's memory has several.
 type part struct {
 	req    *request
@@ -78,38 +79,38 @@
 	job    *peerpb.Job
 	engine string
 	state  partState
-	// ready marks a gang's part that waits for its turn, or runs.
-	ready    bool
-	priority int64
-	giveUpAt time.Duration
-	expected time.Duration
-	from, to int64
-	segment  *Segment
+	// ready marks a gang's part whose preceding segments are complete.
+	ready               bool
+	priority            int64
+	grantDeadline       time.Duration
+	predictedFirstToken time.Duration
+	fromToken, toToken  int64
+	segment             *Segment
 }
 
-// StreamID names the stream of an attempt at an engine. It carries the
-// request's id, which names the instance and its incarnation.
+// StreamID returns the name of an attempt's stream at an engine. It contains the
+// request's id, which identifies the instance and its incarnation.
 func StreamID(id string, attempt uint32) string { return fmt.Sprintf("%s.%d", id, attempt) }
 
-func (p *part) stream() string { return StreamID(p.id, p.job.Attempt) }
+func (p *part) streamID() string { return StreamID(p.id, p.job.Attempt) }
 
-// sent reports whether a byte of the request may have reached an engine.
-func (r *request) sent() bool { return r.reached || r.inFlight }
+// maybeSent reports whether a byte of the request may have reached an engine.
+func (r *request) maybeSent() bool { return r.sentBefore || r.inFlight }
 
-func (r *request) gang() bool { return len(r.parts) > 1 }
+func (r *request) isGang() bool { return len(r.parts) > 1 }
 
-// note keeps the refusal that tells the caller to come back soonest.
-func (r *request) note(code result.Code, after time.Duration) {
+// noteRefusal keeps the refusal with the shortest retry delay.
+func (r *request) noteRefusal(code result.Code, retryAfter time.Duration) {
 	if code == result.OK {
 		return
 	}
-	if r.best.code == result.OK || (after > 0 && after < r.best.after) {
-		r.best = refused{code: code, after: after}
+	if r.bestRefusal.code == result.OK || (retryAfter > 0 && retryAfter < r.bestRefusal.retryAfter) {
+		r.bestRefusal = refusalHint{code: code, retryAfter: retryAfter}
 	}
 }
 
-// budget returns a copy of the job for a new attempt with the time left.
-func (r *request) budget(now time.Duration) *peerpb.Job {
+// attemptJob returns a copy of the job for a new attempt with the remaining time.
+func (r *request) attemptJob(now time.Duration) *peerpb.Job {
 	return &peerpb.Job{
 		Id: r.job.Id, Attempt: r.attempt, Customer: r.job.Customer, Model: r.job.Model,
 		PromptTokens: r.job.PromptTokens, MaxTokens: r.job.MaxTokens, Prefix: r.job.Prefix,
--- a/decide/dispatch/router.go
+++ b/decide/dispatch/router.go
@@ -8,15 +8,16 @@
 	"github.com/auburnmoor/auburnmoor/result"
 )
 
-// Delays of the router.
+// Limits of retries.
 const (
-	retryBase    = 10 * time.Millisecond
-	retryLimit   = 2 * time.Second
-	silentRounds = 4
-	maxResumes   = 3
+	retryBaseDelay = 10 * time.Millisecond
+	retryMaxDelay  = 2 * time.Second
+	// maxUnreadyRounds bounds the rounds while no owner is ready to answer.
+	maxUnreadyRounds = 4
+	maxResumes       = 3
 )
 
-func (n *Node) arrive(now time.Duration, ev Arrive) {
+func (n *Node) onArrive(now time.Duration, ev Arrive) {
 	n.counts.Arrived++
 	r := &request{job: ev.Job, once: ev.Once, deadline: now + usDuration(ev.Job.RemainingUs), tried: map[string]bool{}}
 	r.record = n.records.open(now, r)
@@ -24,28 +25,28 @@
 	n.active = append(n.active, r)
 	p := n.dir.pools[r.job.Model]
 	if p == nil {
-		n.fail(now, r, refusal(result.NoBackend, time.Second, "no engine serves %s", r.job.Model))
+		n.fail(now, r, refusalError(result.NoBackend, time.Second, "no engine serves %s", r.job.Model))
 		return
 	}
-	if largest := p.largest(); largest > 0 && r.job.PromptTokens+r.job.MaxTokens > largest {
-		r.wide = true
+	if largest := p.maxKVTotal(); largest > 0 && r.job.PromptTokens+r.job.MaxTokens > largest {
+		r.needsGang = true
 	}
-	n.ask(now, r)
+	n.requestQuotes(now, r)
 }
 
 func usDuration(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
 
-// ask requests predictions from a few candidate engines.
-func (n *Node) ask(now time.Duration, r *request) {
-	r.state, r.quotes, r.asked = asking, r.quotes[:0], 0
+// requestQuotes asks the owners of a few candidate engines for predictions.
+func (n *Node) requestQuotes(now time.Duration, r *request) {
+	r.state, r.quotes, r.quotesRequested = quoting, r.quotes[:0], 0
 	r.wakeAt = now + n.cfg.QuoteTimeout
 	p := n.dir.pools[r.job.Model]
 	if p == nil {
 		n.giveUp(now, r)
 		return
 	}
-	if r.wide {
-		n.askGang(now, r, p)
+	if r.needsGang {
+		n.requestGangQuotes(now, r, p)
 		return
 	}
 	need := r.job.PromptTokens + r.job.MaxTokens
@@ -58,11 +59,11 @@
 		return
 	}
 	r.attempt++
-	n.sendQuotes(r, r.budget(now), picked)
+	n.sendQuoteRequests(r, r.attemptJob(now), picked)
 }
 
-func (n *Node) sendQuotes(r *request, job *peerpb.Job, engines []*EngineInfo) {
-	r.asked = len(engines)
+func (n *Node) sendQuoteRequests(r *request, job *peerpb.Job, engines []*EngineInfo) {
+	r.quotesRequested = len(engines)
 	for _, e := range engines {
 		n.send(e.Owner, &peerpb.Envelope{Body: &peerpb.Envelope_QuoteRequest{QuoteRequest: &peerpb.QuoteRequest{Engine: e.Name, Job: job}}})
 	}
@@ -70,7 +71,7 @@
 
 func (n *Node) onQuoteReply(now time.Duration, q *peerpb.QuoteReply) {
 	r := n.requests[q.Id]
-	if r == nil || r.state != asking || r.attempt != q.Attempt {
+	if r == nil || r.state != quoting || r.attempt != q.Attempt {
 		n.counts.Stale++
 		return
 	}
@@ -78,95 +79,97 @@
 	if !q.Owned {
 		code = result.NoBackend
 	}
-	r.quotes = append(r.quotes, quote{engine: q.Engine, first: usDuration(q.FirstTokenUs), code: code, unready: !q.Owned})
-	r.note(code, usDuration(q.RetryAfterUs))
+	r.quotes = append(r.quotes, quote{engine: q.Engine, firstToken: usDuration(q.FirstTokenUs), code: code, unready: !q.Owned})
+	r.noteRefusal(code, usDuration(q.RetryAfterUs))
 	if code != result.OK {
-		r.record.candidate(q.Engine, 0, code.String())
+		r.record.addCandidate(q.Engine, 0, code.String())
 	}
-	if len(r.quotes) == r.asked {
-		n.choose(now, r)
+	if len(r.quotes) == r.quotesRequested {
+		n.reserveBest(now, r)
 	}
 }
 
-// choose reserves at the candidate with the earliest predicted first token.
-func (n *Node) choose(now time.Duration, r *request) {
-	if r.wide {
+// reserveBest requests a reservation on the candidate with the earliest
+// predicted first token.
+func (n *Node) reserveBest(now time.Duration, r *request) {
+	if r.needsGang {
 		n.formGang(now, r)
 		return
 	}
 	best := -1
 	for i, q := range r.quotes {
-		if q.used || q.code != result.OK {
+		if q.chosen || q.code != result.OK {
 			continue
 		}
-		if best < 0 || q.first < r.quotes[best].first {
+		if best < 0 || q.firstToken < r.quotes[best].firstToken {
 			best = i
 		}
 	}
 	if best < 0 {
-		n.askAgain(now, r)
+		n.nextRound(now, r)
 		return
 	}
 	q := &r.quotes[best]
-	q.used = true
+	q.chosen = true
 	for i, o := range r.quotes {
-		if i != best && o.code == result.OK && !o.used {
-			r.record.candidate(o.engine, o.first, "later first token than "+q.engine)
+		if i != best && o.code == result.OK && !o.chosen {
+			r.record.addCandidate(o.engine, o.firstToken, "later first token than "+q.engine)
 		}
 	}
-	r.record.candidate(q.engine, q.first, "")
-	n.reserve(now, r, q.engine, q.first)
+	r.record.addCandidate(q.engine, q.firstToken, "")
+	n.reserve(now, r, q.engine, q.firstToken)
 }
 
-// askAgain tries other candidates after every one asked refused or was silent.
-// While an engine changes owners nobody can answer for it for a moment; that
-// counts as silence, and the same engines are asked again after a pause.
-func (n *Node) askAgain(now time.Duration, r *request) {
-	silent := true
+// nextRound asks other candidates after all of the last round refused or were
+// silent. An engine that is changing owners counts as silent; if all are, the
+// same engines are asked again after a backoff.
+func (n *Node) nextRound(now time.Duration, r *request) {
+	noneReady := true
 	for _, q := range r.quotes {
-		silent = silent && q.unready
+		noneReady = noneReady && q.unready
 		if !q.unready {
 			r.tried[q.engine] = true
 		}
 	}
 	r.round++
-	limit := n.cfg.Rounds
-	if silent {
-		limit = silentRounds
+	limit := n.cfg.MaxRounds
+	if noneReady {
+		limit = maxUnreadyRounds
 	}
 	if r.round >= limit {
 		n.giveUp(now, r)
 		return
 	}
-	if silent {
-		n.pause(now, r, retry.Backoff(n.rand, n.cfg.QuoteTimeout, retryLimit, r.round))
+	if noneReady {
+		n.backOff(now, r, retry.Backoff(n.rand, n.cfg.QuoteTimeout, retryMaxDelay, r.round))
 		return
 	}
-	n.ask(now, r)
+	n.requestQuotes(now, r)
 }
 
-func (n *Node) pause(now time.Duration, r *request, d time.Duration) {
-	r.state = pausing
+func (n *Node) backOff(now time.Duration, r *request, d time.Duration) {
+	r.state = backingOff
 	r.wakeAt = now + d
 }
 
-// giveUp answers the caller at once: waiting on would only spend its time.
+// giveUp fails the request at once instead of holding it until its deadline, so
+// that the caller can retry elsewhere.
 func (n *Node) giveUp(now time.Duration, r *request) {
-	code, after := r.best.code, r.best.after
+	code, retryAfter := r.bestRefusal.code, r.bestRefusal.retryAfter
 	if code == result.OK {
-		code, after = result.NoBackend, time.Second
+		code, retryAfter = result.NoBackend, time.Second
 	}
-	if r.sent() {
-		n.fail(now, r, result.New(result.BackendFailed, "no other engine can take the request").After(after))
+	if r.maybeSent() {
+		n.fail(now, r, result.New(result.BackendFailed, "no other engine can take the request").After(retryAfter))
 		return
 	}
-	n.fail(now, r, refusal(code, after, "no candidate engine can take the request"))
+	n.fail(now, r, refusalError(code, retryAfter, "no candidate engine can take the request"))
 }
 
-func (n *Node) reserve(now time.Duration, r *request, engine string, first time.Duration) {
+func (n *Node) reserve(now time.Duration, r *request, engine string, firstToken time.Duration) {
 	r.state = reserving
-	job := r.budget(now)
-	p := &part{req: r, id: job.Id, job: job, engine: engine, expected: first, state: partWaiting}
+	job := r.attemptJob(now)
+	p := &part{req: r, id: job.Id, job: job, engine: engine, predictedFirstToken: firstToken, state: partWaiting}
 	r.parts = append(r.parts[:0], p)
 	n.parts[p.id] = p
 	n.sendReserve(p)
@@ -193,38 +196,38 @@
 		return
 	}
 	if p.state != partWaiting {
-		n.turnedAway(now, p)
+		n.onRejectedAfterGrant(now, p)
 		return
 	}
 	r := p.req
 	code := result.Code(m.Refusal)
-	r.note(code, usDuration(m.RetryAfterUs))
-	r.record.candidate(m.Engine, p.expected, "refused: "+code.String())
+	r.noteRefusal(code, usDuration(m.RetryAfterUs))
+	r.record.addCandidate(m.Engine, p.predictedFirstToken, "refused: "+code.String())
 	r.tried[m.Engine] = true
 	if p.job.Gang > 1 {
-		n.retryGang(now, r, "refused: "+code.String())
+		n.restartGang(now, r, "refused: "+code.String())
 		return
 	}
 	delete(n.parts, p.id)
 	r.parts = r.parts[:0]
-	n.choose(now, r)
+	n.reserveBest(now, r)
 }
 
-// turnedAway leaves an engine that its owner found hung. A request that may
-// not be repeated stays: the engine may go on, and its stream with it.
-func (n *Node) turnedAway(now time.Duration, p *part) {
+// onRejectedAfterGrant fails an attempt on a hung engine. A request that must not
+// be repeated stays: the engine may recover and continue its stream.
+func (n *Node) onRejectedAfterGrant(now time.Duration, p *part) {
 	if !p.req.once {
 		n.attemptFailed(now, p, Refused, false)
 	}
 }
 
-// onGrant starts a granted part. A grant for anything else is returned, since
-// its owner has accounted memory for it.
+// onGrant starts a granted part. A grant for an unknown or outdated part is
+// cancelled, since its owner has reserved memory for it.
 func (n *Node) onGrant(now time.Duration, from string, g *peerpb.Grant) {
 	p := n.parts[g.Id]
 	if p == nil || p.job.Attempt != g.Attempt || p.engine != g.Engine {
 		n.counts.Stale++
-		n.progressTo(from, g.Engine, g.Id, g.Attempt, peerpb.Stage_STAGE_CANCELLED)
+		n.reportProgressTo(from, g.Engine, g.Id, g.Attempt, peerpb.Stage_STAGE_CANCELLED)
 		return
 	}
 	if p.state != partWaiting {
@@ -233,7 +236,7 @@
 	p.state = partGranted
 	p.priority = g.Priority
 	if p.job.Gang > 1 {
-		n.gangGranted(now, p)
+		n.onGangGrant(now, p)
 		return
 	}
 	n.start(now, p, nil)
@@ -243,23 +246,23 @@
 	r := p.req
 	r.state, r.inFlight = running, true
 	p.state, p.segment = partStarted, seg
-	p.giveUpAt = 0
-	r.record.attempt(now, p.engine, p.job.Attempt)
-	n.act(Start{Request: r.job.Id, ID: p.id, Attempt: p.job.Attempt, Engine: p.engine, Priority: p.priority, Segment: seg})
+	p.grantDeadline = 0
+	r.record.addAttempt(now, p.engine, p.job.Attempt)
+	n.emit(Start{Request: r.job.Id, ID: p.id, Attempt: p.job.Attempt, Engine: p.engine, Priority: p.priority, Segment: seg})
 }
 
-func (n *Node) streamFirst(now time.Duration, ev StreamFirst) {
+func (n *Node) onFirstToken(now time.Duration, ev StreamFirst) {
 	p := n.parts[ev.ID]
 	if p == nil || p.job.Attempt != ev.Attempt || p.state != partStarted {
 		return
 	}
-	p.state = partFirst
+	p.state = partFirstToken
 	n.send(n.ownerOf(p.engine), &peerpb.Envelope{Body: &peerpb.Envelope_Progress{Progress: &peerpb.Progress{
 		Engine: p.engine, Id: p.id, Attempt: p.job.Attempt, Stage: peerpb.Stage_STAGE_FIRST_TOKEN, CachedTokens: ev.Cached,
 	}}})
 }
 
-func (n *Node) streamEnd(now time.Duration, ev StreamEnd) {
+func (n *Node) onStreamEnd(now time.Duration, ev StreamEnd) {
 	p := n.parts[ev.ID]
 	if p == nil || p.job.Attempt != ev.Attempt {
 		return
@@ -273,106 +276,105 @@
 
 func (n *Node) succeed(now time.Duration, p *part) {
 	n.counts.Answered++
-	n.budget.Success()
-	p.req.record.verdict("complete")
+	n.retryBudget.Success()
+	p.req.record.setVerdict("complete")
 	p.state = partEnded
-	n.progress(p, peerpb.Stage_STAGE_DONE)
+	n.reportProgress(p, peerpb.Stage_STAGE_DONE)
 	n.finish(now, p.req, "complete")
 }
 
-// attemptFailed decides whether a failed attempt is resumed, repeated
-// elsewhere or reported.
+// attemptFailed resumes a failed attempt, retries it or fails the request.
 func (n *Node) attemptFailed(now time.Duration, p *part, fault Fault, shown bool) {
 	r := p.req
 	if fault == Broken && r.resumes < maxResumes {
 		n.resume(now, p)
 		return
 	}
-	r.record.verdict("failed")
-	r.reached = r.reached || fault != NotSent || r.gang()
+	r.record.setVerdict("failed")
+	r.sentBefore = r.sentBefore || fault != NotSent || r.isGang()
 	r.inFlight = false
 	r.tried[p.engine] = true
 	switch {
 	case shown:
 		n.fail(now, r, result.New(result.BackendFailed, "the answer broke off and could not be resumed"))
-	case r.once && r.sent():
+	case r.once && r.maybeSent():
 		n.fail(now, r, result.New(result.OutcomeUnknown, "the engine failed; a request of this kind is not repeated"))
-	case !n.budget.Take():
-		n.fail(now, r, n.failedAttempt(r))
-	case r.gang():
-		n.retryGang(now, r, "failed")
+	case !n.retryBudget.Take():
+		n.fail(now, r, n.attemptError(r))
+	case r.isGang():
+		n.restartGang(now, r, "failed")
 	default:
 		n.counts.Retries++
 		n.release(r, peerpb.Stage_STAGE_FAILED)
-		n.pause(now, r, retry.Backoff(n.rand, retryBase, retryLimit, int(r.attempt)))
+		n.backOff(now, r, retry.Backoff(n.rand, retryBaseDelay, retryMaxDelay, int(r.attempt)))
 	}
 }
 
-func (n *Node) failedAttempt(r *request) *result.Error {
-	if !r.sent() {
-		return refusal(result.NoBackend, time.Second, "the engine is unreachable and the retry budget is spent")
+func (n *Node) attemptError(r *request) *result.Error {
+	if !r.maybeSent() {
+		return refusalError(result.NoBackend, time.Second, "the engine is unreachable and the retry budget is spent")
 	}
 	return result.New(result.BackendFailed, "the engine failed and the retry budget is spent").After(time.Second)
 }
 
-// resume reattaches to the same attempt: the engine kept the stream, so the
-// answer continues where it broke, and nothing runs or is computed twice.
+// resume reattaches to the stream of the same attempt. The engine keeps the
+// stream, so the answer continues where it broke off and nothing runs twice.
 func (n *Node) resume(now time.Duration, p *part) {
 	n.counts.Resumes++
 	p.req.resumes++
-	// A resumption that does not reach the engine says nothing of the attempt
-	// that it continues, which did.
-	p.req.reached = true
-	p.req.record.verdict("resumed")
-	n.act(Start{Request: p.req.job.Id, ID: p.id, Attempt: p.job.Attempt, Engine: p.engine, Resume: true, Segment: p.segment})
+	// If the resumption fails as NotSent, that holds for the resumption only: the
+	// attempt that it continues has reached the engine.
+	p.req.sentBefore = true
+	p.req.record.setVerdict("resumed")
+	n.emit(Start{Request: p.req.job.Id, ID: p.id, Attempt: p.job.Attempt, Engine: p.engine, Resume: true, Segment: p.segment})
 }
 
-func (n *Node) callerGone(now time.Duration, id string) {
+func (n *Node) onCallerGone(now time.Duration, id string) {
 	if r := n.requests[id]; r != nil {
 		n.release(r, peerpb.Stage_STAGE_CANCELLED)
 		n.finish(now, r, result.CallerGone.String())
 	}
 }
 
-// checkRequest acts on the times of a request.
+// checkRequest handles the timers of a request that have expired.
 func (n *Node) checkRequest(now time.Duration, r *request) {
 	if now >= r.deadline {
-		n.deadline(now, r)
+		n.onDeadline(now, r)
 		return
 	}
 	switch r.state {
-	case asking:
+	case quoting:
 		if now >= r.wakeAt {
-			n.choose(now, r)
+			n.reserveBest(now, r)
 		}
-	case pausing:
+	case backingOff:
 		if now >= r.wakeAt {
-			n.ask(now, r)
+			n.requestQuotes(now, r)
 		}
 	default:
-		n.checkParts(now, r)
+		n.checkGangGrants(now, r)
 	}
 }
 
-// checkParts forms a gang anew when one of its engines is not granted in time.
-// A single part waits for its owner: a new owner learns of it by renewal, and
-// an owner that loses its engine turns it away.
-func (n *Node) checkParts(now time.Duration, r *request) {
+// checkGangGrants restarts a gang if one of its reservations is not granted in
+// time. A request with a single part needs no such timeout: a new owner learns of
+// it by renewal, and an owner that loses its engine rejects it.
+func (n *Node) checkGangGrants(now time.Duration, r *request) {
 	for _, p := range r.parts {
-		if p.state == partWaiting && p.giveUpAt > 0 && now >= p.giveUpAt {
-			n.retryGang(now, r, "not granted in time")
+		if p.state == partWaiting && p.grantDeadline > 0 && now >= p.grantDeadline {
+			n.restartGang(now, r, "not granted in time")
 			return
 		}
 	}
 }
 
-func (n *Node) deadline(now time.Duration, r *request) {
+func (n *Node) onDeadline(now time.Duration, r *request) {
 	n.counts.Deadlines++
-	if r.sent() {
+	if r.maybeSent() {
 		n.fail(now, r, result.New(result.DeadlinePassed, "the time limit passed"))
 		return
 	}
-	n.fail(now, r, refusal(result.DeadlineNotRun, r.best.after, "the time limit passed before an engine was free"))
+	n.fail(now, r, refusalError(result.DeadlineNotRun, r.bestRefusal.retryAfter, "the time limit passed before an engine was free"))
 }
 
 func (n *Node) fail(now time.Duration, r *request, err *result.Error) {
@@ -387,7 +389,7 @@
 	}
 	n.release(r, stage)
 	n.finish(now, r, err.Code.String())
-	n.act(Finish{ID: r.job.Id, Err: err})
+	n.emit(Finish{ID: r.job.Id, Err: err})
 }
 
 func (n *Node) finish(now time.Duration, r *request, outcome string) {
@@ -396,47 +398,47 @@
 	delete(n.requests, r.job.Id)
 }
 
-// release gives back every part: its reservation, and its stream or held KV
-// cache at the engine, which otherwise would keep the memory.
+// release frees the reservations of all parts and cancels their streams at the
+// engines, which would otherwise keep the KV cache in memory.
 func (n *Node) release(r *request, stage peerpb.Stage) {
 	for _, p := range r.parts {
 		delete(n.parts, p.id)
-		if p.state == partIdle || p.state == partEnded {
+		if p.state == partUnreserved || p.state == partEnded {
 			continue
 		}
 		if p.state >= partStarted {
-			n.act(Cancel{Engine: p.engine, Stream: p.stream()})
+			n.emit(Cancel{Engine: p.engine, Stream: p.streamID()})
 		}
-		n.progress(p, stage)
+		n.reportProgress(p, stage)
 	}
 	r.parts = r.parts[:0]
 }
 
-func (n *Node) progress(p *part, stage peerpb.Stage) {
-	n.progressTo(n.ownerOf(p.engine), p.engine, p.id, p.job.Attempt, stage)
+func (n *Node) reportProgress(p *part, stage peerpb.Stage) {
+	n.reportProgressTo(n.ownerOf(p.engine), p.engine, p.id, p.job.Attempt, stage)
 }
 
-func (n *Node) progressTo(owner, engine, id string, attempt uint32, stage peerpb.Stage) {
+func (n *Node) reportProgressTo(owner, engine, id string, attempt uint32, stage peerpb.Stage) {
 	n.send(owner, &peerpb.Envelope{Body: &peerpb.Envelope_Progress{Progress: &peerpb.Progress{
 		Engine: engine, Id: id, Attempt: attempt, Stage: stage,
 	}}})
 }
 
-// renewAll renews the reservations of the parts that match, one message per
+// renewAll renews the reservations of the matching parts, with one message per
 // engine.
 func (n *Node) renewAll(match func(*part) bool) {
 	byEngine := map[string][]*peerpb.RenewItem{}
 	var order []string
 	for _, r := range n.active {
 		for _, p := range r.parts {
-			if p.state == partIdle || p.state == partEnded || !match(p) {
+			if p.state == partUnreserved || p.state == partEnded || !match(p) {
 				continue
 			}
 			if byEngine[p.engine] == nil {
 				order = append(order, p.engine)
 			}
 			byEngine[p.engine] = append(byEngine[p.engine], &peerpb.RenewItem{
-				Job: p.job, Running: p.state >= partGranted, Ready: p.ready, FirstToken: p.state == partFirst,
+				Job: p.job, Running: p.state >= partGranted, Ready: p.ready, FirstToken: p.state == partFirstToken,
 			})
 		}
 	}
--- a/decide/dispatch/router_test.go
+++ b/decide/dispatch/router_test.go
@@ -13,14 +13,14 @@
 
 func TestDispatch(t *testing.T) { testkit.Suite(t, "dispatch") }
 
-var _ = Describe("a request during a change of owners", func() {
-	// A tutor gets "no backend" although every engine is well: an instance
-	// joined, took engines over, and was asked for them before its first load
-	// report. The entry believed the refusal and gave up at once.
+var _ = Describe("placing a request while engines change owners", func() {
+	// A caller gets "no backend" although all engines are healthy: an instance
+	// that has just joined and taken over engines is asked for a quote before its
+	// first load report, and the entry takes its reply for a final refusal.
 	It("waits for the new owner's first report", func() {
 		n := NewNode("self", DefaultConfig(), 1)
 		n.Step(0, Directory{Engines: []EngineInfo{{Name: "e", Models: []string{"m"}, Owner: "self"}}})
-		for _, a := range n.Step(0, Arrive{Job: benchJob(1)}) {
+		for _, a := range n.Step(0, Arrive{Job: testJob(1)}) {
 			Expect(a).NotTo(BeAssignableToTypeOf(Finish{}))
 		}
 		n.Step(50*time.Millisecond, EngineReport{Report: engine.Report{Engine: "e", KVTotal: 480_000, PrefillPerSecond: 1e5, StepMS: 1}})
@@ -34,10 +34,10 @@
 		Expect(started).To(BeTrue())
 	})
 
-	It("gives up within a second when no owner ever answers", func() {
+	It("fails the request within a second when no owner answers", func() {
 		n := NewNode("self", DefaultConfig(), 1)
 		n.Step(0, Directory{Engines: []EngineInfo{{Name: "e", Models: []string{"m"}, Owner: "gone"}}})
-		n.Step(0, Arrive{Job: benchJob(1)})
+		n.Step(0, Arrive{Job: testJob(1)})
 		var failed *Finish
 		for now := TickEvery; now < 2*time.Second && failed == nil; now += TickEvery {
 			for _, a := range n.Step(now, Tick{}) {
