--- a/decide/dispatch/node.go
+++ b/decide/dispatch/node.go
@@ -218,7 +218,7 @@
 // the owned engines, for invariant checks.
 func (n *Node) Load() (requests int, memory int64) {
 	for _, e := range n.engines {
-		memory += e.Memory()
+		memory += e.ReservedMemory()
 	}
 	return len(n.requests), memory
 }
--- a/decide/dispatch/owner.go
+++ b/decide/dispatch/owner.go
@@ -80,8 +80,8 @@
 	if e == nil {
 		return
 	}
-	e.Load(now, ev.Report)
-	e.Events(ev.Events)
+	e.ApplyReport(now, ev.Report)
+	e.ApplyCacheEvents(ev.Events)
 	if e.Hung() {
 		n.rejectPending(now, ev.Report.Engine)
 		return
@@ -94,7 +94,7 @@
 	if e == nil {
 		return
 	}
-	e.Lost()
+	e.MarkUnreachable()
 	n.rejectPending(now, name)
 }
 
@@ -105,7 +105,7 @@
 
 func (n *Node) onQuoteRequest(now time.Duration, from string, q *peerpb.QuoteRequest) {
 	reply := &peerpb.QuoteReply{Engine: q.Engine, Id: q.Job.Id, Attempt: q.Job.Attempt}
-	if e := n.owned[q.Engine]; e != nil && e.Known() {
+	if e := n.owned[q.Engine]; e != nil && e.HasReport() {
 		p := sched.Prediction{Refusal: result.NoBackend, RetryAfter: ejectedRetryAfter}
 		if !n.unusable(now, q.Engine) {
 			p = e.Quote(now, q.Job)
@@ -135,14 +135,14 @@
 		return
 	}
 	n.health.Begin(now, q.Engine)
-	if n.flushGrants(now, e); e.Waiting(q.Job.Id) {
+	if n.flushGrants(now, e); e.IsQueued(q.Job.Id) {
 		reply.Queued = true
 		n.send(from, &peerpb.Envelope{Body: &peerpb.Envelope_ReserveReply{ReserveReply: reply}})
 	}
 }
 
 func (n *Node) flushGrants(now time.Duration, e *sched.Engine) {
-	if !e.Known() {
+	if !e.HasReport() {
 		return
 	}
 	for _, g := range e.Grants(now) {
@@ -166,7 +166,7 @@
 		n.health.Failure(now, p.Engine)
 	case peerpb.Stage_STAGE_FIRST_TOKEN:
 		n.health.Success(now, p.Engine)
-		e.Found(p.Id, p.Attempt, p.CachedTokens)
+		e.ObserveCachedTokens(p.Id, p.Attempt, p.CachedTokens)
 	case peerpb.Stage_STAGE_DONE:
 		n.health.Success(now, p.Engine)
 	case peerpb.Stage_STAGE_READY:
@@ -174,7 +174,7 @@
 		n.health.Abandon(p.Engine)
 	}
 	e.Progress(now, p.Id, p.Attempt, p.Stage)
-	if n.unusable(now, p.Engine) || !e.Known() {
+	if n.unusable(now, p.Engine) || !e.HasReport() {
 		n.rejectPending(now, p.Engine)
 		return
 	}
--- a/decide/sched/cacheindex.go
+++ b/decide/sched/cacheindex.go
@@ -2,10 +2,10 @@
 
 import "github.com/auburnmoor/auburnmoor/port/engine"
 
-// maxIndexed bounds the blocks remembered of one engine.
-const maxIndexed = 4096
+// maxIndexedBlocks bounds the blocks indexed per engine.
+const maxIndexedBlocks = 4096
 
-// cacheIndex is the owner's belief about an engine's prefix cache.
+// cacheIndex is the owner's approximate copy of an engine's prefix cache index.
 type cacheIndex struct {
 	blocks map[uint64]struct{}
 	seq    uint64
@@ -14,10 +14,9 @@
 
 func newCacheIndex() cacheIndex { return cacheIndex{blocks: map[uint64]struct{}{}} }
 
-// apply takes over cache events. A gap may hide evictions, and a belief in
-// evicted blocks attracts requests to an engine that must compute them again.
-// The index is therefore emptied at a gap: no belief costs one extra prefill,
-// a wrong belief costs one for every request that it attracts.
+// apply applies cache events. A gap in the sequence may hide evictions, so the
+// index is cleared: a missing entry costs one extra prefill, a stale one costs a
+// prefill for every request that it attracts to the engine.
 func (x *cacheIndex) apply(events []engine.CacheEvent) {
 	for _, ev := range events {
 		if ev.Seq <= x.seq {
@@ -32,17 +31,17 @@
 			delete(x.blocks, ev.Hash)
 			continue
 		}
-		if len(x.blocks) < maxIndexed {
+		if len(x.blocks) < maxIndexedBlocks {
 			x.blocks[ev.Hash] = struct{}{}
 		}
 	}
 }
 
-// disprove forgets the blocks of a prompt that the engine did not have.
-func (x *cacheIndex) disprove(sample []uint64) {
+// forget removes the blocks of a prompt that the engine did not have.
+func (x *cacheIndex) forget(sample []uint64) {
 	for _, h := range sample {
 		delete(x.blocks, h)
 	}
 }
 
-func (x *cacheIndex) known(h uint64) bool { _, ok := x.blocks[h]; return ok }
+func (x *cacheIndex) contains(h uint64) bool { _, ok := x.blocks[h]; return ok }
--- a/decide/sched/demand.go
+++ b/decide/sched/demand.go
@@ -6,48 +6,49 @@
 	"time"
 )
 
-// demandMemory is the time constant of the measured demand.
-const demandMemory = 30 * time.Second
+// demandTimeConstant is the time constant of the exponential decay of demand.
+const demandTimeConstant = 30 * time.Second
 
-// maxPreempted bounds the part of an engine that shorter requests are assumed
-// to take from a long one.
-const maxPreempted = 0.9
+// maxPreemptedShare bounds the share of an engine's capacity that shorter
+// requests are assumed to take from a longer one.
+const maxPreemptedShare = 0.9
 
-// sizes is the number of size classes, powers of two of prompt tokens.
-const sizes = 24
+// sizeClasses is the number of size classes: powers of two of prefill tokens.
+const sizeClasses = 24
 
-// demand measures how much work of each size arrives at an engine. A long
-// request is overtaken by shorter ones that arrive later; without counting on
-// them, long ones are admitted that can only keep their time by pushing the
-// short ones aside in the end.
+// demand measures the arriving prefill work of an engine per size class. Shorter
+// requests that arrive later overtake a long one. Unless admission allows for
+// them, it admits long requests that can meet their deadline only by delaying
+// the short ones.
 type demand struct {
-	work [sizes]float64
-	at   time.Duration
+	work      [sizeClasses]float64
+	updatedAt time.Duration
 }
 
-func sizeOf(work float64) int {
-	return min(bits.Len64(uint64(work)), sizes-1)
+func sizeClass(work float64) int {
+	return min(bits.Len64(uint64(work)), sizeClasses-1)
 }
 
 func (d *demand) decay(now time.Duration) {
-	f := math.Exp(-float64(now-d.at) / float64(demandMemory))
-	d.at = now
+	factor := math.Exp(-float64(now-d.updatedAt) / float64(demandTimeConstant))
+	d.updatedAt = now
 	for i := range d.work {
-		d.work[i] *= f
+		d.work[i] *= factor
 	}
 }
 
 func (d *demand) add(now time.Duration, work float64) {
 	d.decay(now)
-	d.work[sizeOf(work)] += work
+	d.work[sizeClass(work)] += work
 }
 
-// left returns the part of the engine that requests smaller than work leave.
-func (d *demand) left(now time.Duration, work, rate float64) float64 {
+// remainingShare returns the share of the engine's capacity that is left by the
+// requests of smaller size classes than work.
+func (d *demand) remainingShare(now time.Duration, work, rate float64) float64 {
 	d.decay(now)
 	smaller := 0.0
-	for _, w := range d.work[:sizeOf(work)] {
+	for _, w := range d.work[:sizeClass(work)] {
 		smaller += w
 	}
-	return 1 - min(smaller/demandMemory.Seconds()/rate, maxPreempted)
+	return 1 - min(smaller/demandTimeConstant.Seconds()/rate, maxPreemptedShare)
 }
--- a/decide/sched/engine.go
+++ b/decide/sched/engine.go
@@ -1,6 +1,6 @@
-// Package sched decides for one engine what runs when. The owner of an engine
-// keeps its queue and its memory account; entries ask it for a prediction and
-// a reservation and hand the request to the engine when granted.
+// Package sched schedules the requests of one engine. The engine's owner keeps
+// its queue and memory accounting. An entry asks the owner for a prediction and a
+// reservation, and starts the request on the engine once it is granted.
 //
 // The package does no I/O, starts no goroutine and reads no clock.
 package sched
@@ -15,28 +15,28 @@
 
 // Config tunes the scheduling of an engine.
 type Config struct {
-	// Order names a registered order.
+	// Order is the name of a registered order.
 	Order string
 	// MaxQueue bounds the requests waiting for one engine.
 	MaxQueue int
-	// Window is the granted prefill work kept at the engine ahead of a request.
+	// Window bounds the granted prefill work ahead of a newly granted request.
 	Window time.Duration
-	// Expiry frees a reservation whose entry stopped renewing it.
+	// Expiry is the time after which a reservation expires unless renewed.
 	Expiry time.Duration
-	// Headroom is the part of the KV memory that only requests smaller than it
-	// may use, so that long requests cannot lock short ones out.
+	// Headroom is the share of the KV memory reserved for requests smaller than
+	// itself, so that long requests cannot block short ones.
 	Headroom float64
-	// PatientShare is the part of its time limit within which a request that may
-	// wait must be predicted to finish. The rest is kept for what comes later;
-	// without it an overload drives the long requests to their latest start,
-	// where they stop every short one.
+	// PatientShare is the share of its time limit within which a deferrable
+	// request must be predicted to finish. The rest is a reserve for later
+	// arrivals: without it, overload delays long requests to their latest start,
+	// where they precede all short ones.
 	PatientShare float64
-	// Affinity counts tokens believed cached as already done.
+	// Affinity enables predictions that subtract the tokens expected in the
+	// engine's prefix cache.
 	Affinity bool
 }
 
-// DefaultConfig returns the values chosen by measurement, see
-// docs/MEASUREMENTS.md.
+// DefaultConfig returns the defaults, explained in docs/MEASUREMENTS.md.
 func DefaultConfig() Config {
 	return Config{
 		Order: "stretch", MaxQueue: 512, Window: 100 * time.Millisecond,
@@ -46,8 +46,8 @@
 
 // Rates assumed before the first load report.
 const (
-	initialRate = 20_000.0
-	initialStep = 20 * time.Millisecond
+	initialPrefillRate = 20_000.0
+	initialStepTime    = 20 * time.Millisecond
 )
 
 type phase int
@@ -59,21 +59,22 @@
 	holding
 )
 
+// reservation is a request, or a gang's part, until its end.
 type reservation struct {
-	job    *peerpb.Job
-	entry  string
-	phase  phase
-	key    time.Duration
-	work   float64
-	left   float64
-	memory int64
-	// inMemory tells that memory is accounted for the reservation.
-	inMemory bool
-	// early marks a gang's part whose turn to run has not come.
-	early    bool
-	deadline time.Duration
-	expires  time.Duration
-	endsAt   time.Duration
+	job       *peerpb.Job
+	entry     string
+	phase     phase
+	key       time.Duration
+	work      float64 // uncached prompt tokens
+	remaining float64 // part of work not done yet
+	memory    int64
+	// memoryHeld is set while memory is included in Engine.reservedMemory.
+	memoryHeld bool
+	// awaitingTurn marks a gang's part whose preceding segments are incomplete.
+	awaitingTurn bool
+	deadline     time.Duration
+	expiresAt    time.Duration
+	expectedEnd  time.Duration
 }
 
 // Grant is a decision to start a request now.
@@ -84,150 +85,151 @@
 	Priority int64
 }
 
-// Engine is the owner's account of one engine.
+// Engine is the owner's scheduling state of one engine.
 type Engine struct {
-	Name    string
-	cfg     Config
-	order   Order
-	kvTotal int64
-	rate    float64
-	step    time.Duration
-	offset  time.Duration
-	models  []string
-	// pending holds queued and granted reservations in order of key.
-	pending []*reservation
-	byID    map[string]*reservation
-	memory  int64
-	cache   cacheIndex
-	shares  shareBook
-	demand  demand
-	at      time.Duration
-	steps   int64
-	movedAt time.Duration
-	hung    bool
-	counts  Counts
+	Name        string
+	cfg         Config
+	order       Order
+	kvTotal     int64
+	prefillRate float64
+	stepTime    time.Duration
+	clockOffset time.Duration
+	models      []string
+	// pending holds the queued and granted reservations, sorted by key.
+	pending        []*reservation
+	byID           map[string]*reservation
+	reservedMemory int64
+	cache          cacheIndex
+	usage          usageTracker
+	demand         demand
+	advancedAt     time.Duration
+	lastSteps      int64
+	lastStepAt     time.Duration
+	hung           bool
+	counts         Counts
 }
 
-// Counts are totals since the engine was taken over.
+// Counts are totals since this instance became the owner.
 type Counts struct {
-	Quotes    uint64 `json:"quotes"`
-	Reserved  uint64 `json:"reserved"`
-	Granted   uint64 `json:"granted"`
-	Done      uint64 `json:"done"`
-	Refused   uint64 `json:"refused"`
-	Expired   uint64 `json:"expired"`
-	Adopted   uint64 `json:"adopted"`
-	Cancelled uint64 `json:"cancelled"`
-	Disproved uint64 `json:"cache_beliefs_disproved"`
+	Quotes              uint64 `json:"quotes"`
+	Reserved            uint64 `json:"reserved"`
+	Granted             uint64 `json:"granted"`
+	Done                uint64 `json:"done"`
+	Refused             uint64 `json:"refused"`
+	Expired             uint64 `json:"expired"`
+	Adopted             uint64 `json:"adopted"`
+	Cancelled           uint64 `json:"cancelled"`
+	CacheMispredictions uint64 `json:"cache_beliefs_disproved"`
 }
 
-// NewEngine returns the account of an engine nothing is known of yet.
+// NewEngine returns the state of an engine without a load report yet.
 func NewEngine(name string, cfg Config) *Engine {
 	o, ok := LookupOrder(cfg.Order)
 	if !ok {
 		o, _ = LookupOrder("stretch")
 	}
 	return &Engine{
-		Name: name, cfg: cfg, order: o, rate: initialRate, step: initialStep,
-		byID: map[string]*reservation{}, cache: newCacheIndex(), shares: newShareBook(),
+		Name: name, cfg: cfg, order: o, prefillRate: initialPrefillRate, stepTime: initialStepTime,
+		byID: map[string]*reservation{}, cache: newCacheIndex(), usage: newUsageTracker(),
 	}
 }
 
-// Load takes over a load report.
-func (e *Engine) Load(now time.Duration, r engine.Report) {
+// ApplyReport applies a load report.
+func (e *Engine) ApplyReport(now time.Duration, r engine.Report) {
 	e.advance(now)
 	e.kvTotal = r.KVTotal
 	e.models = r.Models
-	e.offset = time.Duration(r.AtMS)*time.Millisecond - now
+	e.clockOffset = time.Duration(r.AtMS)*time.Millisecond - now
 	if r.PrefillPerSecond > 0 {
-		e.rate = r.PrefillPerSecond
+		e.prefillRate = r.PrefillPerSecond
 	}
-	e.watchProgress(now, r)
+	e.detectHang(now, r)
 	if r.StepMS > 0 {
-		e.step = time.Duration(r.StepMS * float64(time.Millisecond))
+		e.stepTime = time.Duration(r.StepMS * float64(time.Millisecond))
 	}
 }
 
-// hungAfter is how long an engine with work may complete no step.
+// hungAfter is the time without a completed step after which an engine with work
+// is considered hung.
 const hungAfter = 2 * time.Second
 
-// watchProgress notices an engine that answers but does not work. It would
-// otherwise keep its requests until their deadlines; a request that only waits
-// for its turn must not be mistaken for one, so steps count, not answers.
-func (e *Engine) watchProgress(now time.Duration, r engine.Report) {
-	if r.Steps != e.steps || r.Running+r.Queued == 0 || e.movedAt == 0 {
-		e.steps, e.movedAt = r.Steps, now
+// detectHang detects an engine that answers but makes no progress and would keep
+// its requests until their deadlines. It looks at the engine's steps, not at
+// single requests, since a request may make no progress while others run.
+func (e *Engine) detectHang(now time.Duration, r engine.Report) {
+	if r.Steps != e.lastSteps || r.Running+r.Queued == 0 || e.lastStepAt == 0 {
+		e.lastSteps, e.lastStepAt = r.Steps, now
 	}
-	e.hung = now-e.movedAt >= hungAfter
+	e.hung = now-e.lastStepAt >= hungAfter
 }
 
 // Hung reports whether the engine completes no steps.
 func (e *Engine) Hung() bool { return e.hung }
 
-// Events takes over cache events.
-func (e *Engine) Events(events []engine.CacheEvent) { e.cache.apply(events) }
+// ApplyCacheEvents applies the engine's cache events.
+func (e *Engine) ApplyCacheEvents(events []engine.CacheEvent) { e.cache.apply(events) }
 
-// CacheSeq returns the last cache event seen.
+// CacheSeq returns the sequence number of the last cache event applied.
 func (e *Engine) CacheSeq() uint64 { return e.cache.seq }
 
-// Known reports whether a load report was seen, without which nothing is
-// granted.
-func (e *Engine) Known() bool { return e.kvTotal > 0 }
+// HasReport reports whether the engine's load is known. Without a load report
+// nothing is granted.
+func (e *Engine) HasReport() bool { return e.kvTotal > 0 }
 
-// advance credits the granted requests with the prefill done since the last
-// call, in the order in which the engine works on them.
+// advance subtracts the estimated prefill work done since the last call from the
+// granted requests, in the order in which the engine runs them.
 func (e *Engine) advance(now time.Duration) {
-	done := (now - e.at).Seconds() * e.rate
-	e.at = now
+	done := (now - e.advancedAt).Seconds() * e.prefillRate
+	e.advancedAt = now
 	for _, r := range e.pending {
 		if done <= 0 {
 			return
 		}
-		if r.phase != granted || r.early {
+		if r.phase != granted || r.awaitingTurn {
 			continue
 		}
-		// A request keeps a little until its first token is reported.
-		n := min(done, max(r.left-1, 0))
-		r.left -= n
+		// At least one token remains until the first token is reported.
+		n := min(done, max(r.remaining-1, 0))
+		r.remaining -= n
 		done -= n
 	}
 }
 
-func (e *Engine) seconds(tokens float64) time.Duration {
-	return time.Duration(tokens / e.rate * float64(time.Second))
+func (e *Engine) prefillTime(tokens float64) time.Duration {
+	return time.Duration(tokens / e.prefillRate * float64(time.Second))
 }
 
-func (e *Engine) cached(j *peerpb.Job) int64 {
+func (e *Engine) cachedTokens(j *peerpb.Job) int64 {
 	if !e.cfg.Affinity {
 		return 0
 	}
-	return min(prefix.CachedTokens(j.Prefix, e.cache.known), j.PromptTokens-1)
+	return min(prefix.CachedTokens(j.Prefix, e.cache.contains), j.PromptTokens-1)
 }
 
-func memoryOf(j *peerpb.Job) int64 {
+func memoryNeeded(j *peerpb.Job) int64 {
 	if j.HoldTokens > 0 {
 		return j.HoldTokens
 	}
 	return j.PromptTokens + j.MaxTokens
 }
 
-// Memory returns the KV tokens accounted to reservations.
-func (e *Engine) Memory() int64 { return e.memory }
+// ReservedMemory returns the KV memory held by reservations, in tokens.
+func (e *Engine) ReservedMemory() int64 { return e.reservedMemory }
 
 // Len returns the number of reservations.
 func (e *Engine) Len() int { return len(e.byID) }
 
-// Dump describes the engine's account.
+// Dump returns the engine's scheduling state.
 func (e *Engine) Dump() EngineDump {
 	return EngineDump{
-		Engine: e.Name, KVTotal: e.kvTotal, KVReserved: e.memory, Pending: len(e.pending),
-		Reservations: len(e.byID), TokensPerSecond: e.rate, BacklogMS: e.backlog().Milliseconds(),
-		CachedBlocks: len(e.cache.blocks), CacheGaps: e.cache.gaps, ActiveCustomers: len(e.shares.customers),
+		Engine: e.Name, KVTotal: e.kvTotal, KVReserved: e.reservedMemory, Pending: len(e.pending),
+		Reservations: len(e.byID), TokensPerSecond: e.prefillRate, BacklogMS: e.backlog().Milliseconds(),
+		CachedBlocks: len(e.cache.blocks), CacheGaps: e.cache.gaps, ActiveCustomers: len(e.usage.customers),
 		Counts: e.counts,
 	}
 }
 
-// EngineDump is the state of one owned engine.
+// EngineDump is the state of an owned engine as reported to operators.
 type EngineDump struct {
 	Engine          string  `json:"engine"`
 	KVTotal         int64   `json:"kv_total"`
--- a/decide/sched/engine_test.go
+++ b/decide/sched/engine_test.go
@@ -24,7 +24,7 @@
 
 func newEngine(cfg sched.Config) *sched.Engine {
 	e := sched.NewEngine("e", cfg)
-	e.Load(0, engine.Report{Engine: "e", KVTotal: kv, PrefillPerSecond: 10_000, StepMS: 10})
+	e.ApplyReport(0, engine.Report{Engine: "e", KVTotal: kv, PrefillPerSecond: 10_000, StepMS: 10})
 	return e
 }
 
@@ -35,20 +35,20 @@
 	}
 }
 
-var _ = Describe("an engine's owner", func() {
+var _ = Describe("scheduling the requests of an engine", func() {
 	It("grants a short request before a long one that is already running", func() {
 		e := newEngine(sched.DefaultConfig())
 		e.Reserve(0, "a", job("long", 50_000, time.Minute))
 		Expect(e.Grants(0)).To(HaveLen(1))
-		long := e.Grants(0)
-		Expect(long).To(BeEmpty())
+		repeated := e.Grants(0)
+		Expect(repeated).To(BeEmpty())
 		e.Reserve(time.Second, "a", job("short", 1_000, time.Minute))
 		g := e.Grants(time.Second)
 		Expect(g).To(HaveLen(1))
 		Expect(g[0].ID).To(Equal("short"))
 	})
 
-	It("ranks a long request before new short ones when its time runs out", func() {
+	It("orders a long request before new short ones when its deadline is near", func() {
 		o, _ := sched.LookupOrder("stretch")
 		long := o.Key(sched.Work{Arrived: 0, Target: time.Minute, Deadline: time.Minute, Prefill: 20 * time.Second, Total: 21 * time.Second})
 		early := o.Key(sched.Work{Arrived: 5 * time.Second, Target: time.Second, Deadline: 35 * time.Second, Prefill: 100 * time.Millisecond, Total: time.Second})
@@ -57,7 +57,7 @@
 		Expect(late).To(BeNumerically(">", long))
 	})
 
-	It("refuses what cannot finish in its time and says when to come back", func() {
+	It("refuses a request that cannot finish in time, with a retry delay", func() {
 		e := newEngine(sched.DefaultConfig())
 		p := e.Reserve(0, "a", job("late", 90_000, 2*time.Second))
 		Expect(p.Refusal).To(Equal(result.CannotFinishInTime))
@@ -65,10 +65,10 @@
 		Expect(e.Len()).To(BeZero())
 	})
 
-	// A milestone review that was admitted fails at its deadline: a stream of
-	// short requests, each harmless alone, kept overtaking it. Cause: admission
-	// that only looks at the newcomer.
-	It("refuses a newcomer that would make an admitted request late", func() {
+	// An admitted long request misses its deadline because many short requests,
+	// each with little effect, overtake it. It happens if admission checks only
+	// the deadline of the new request.
+	It("refuses a new request that would make an admitted one late", func() {
 		e := newEngine(sched.DefaultConfig())
 		Expect(e.Reserve(0, "a", job("review", 80_000, 10*time.Second)).Refusal).To(Equal(result.OK))
 		refused := 0
@@ -89,21 +89,21 @@
 		e.Progress(5*time.Second, "long0", 1, peerpb.Stage_STAGE_FIRST_TOKEN)
 		e.Grants(5 * time.Second)
 		e.Progress(10*time.Second, "long1", 1, peerpb.Stage_STAGE_FIRST_TOKEN)
-		Expect(e.Grants(10*time.Second)).To(BeEmpty(), "the third long request took the headroom")
+		Expect(e.Grants(10*time.Second)).To(BeEmpty(), "the third long request was granted the headroom")
 		e.Reserve(10*time.Second, "a", job("short", 2_000, time.Minute))
 		Expect(e.Grants(10 * time.Second)).To(HaveLen(1))
 	})
 
-	// Tutors wait fifteen seconds behind an archive although their engine looked
-	// idle: a gang's part was granted with the rank of its reservation and
-	// credited with progress while it waited for the part before it.
-	It("ranks and accounts a gang's part from its turn, not from its reservation", func() {
+	// Short requests wait 15 s behind a gang's part on an engine predicted to be
+	// idle: the part is granted with the key of its reservation, and its work is
+	// counted as done while it waits for the preceding part.
+	It("computes a gang part's key and progress from when it is ready, not from its reservation", func() {
 		e := newEngine(sched.DefaultConfig())
 		part := job("p#1", 40_000, time.Hour)
 		part.Gang, part.HoldTokens = 2, 40_000
 		e.Reserve(0, "a", part)
 		Expect(e.Grants(0)).To(HaveLen(1), "its memory")
-		Expect(e.Memory()).To(BeNumerically(">=", 40_000))
+		Expect(e.ReservedMemory()).To(BeNumerically(">=", 40_000))
 		idle := e.Quote(time.Minute, job("q", 1_000, time.Minute))
 		Expect(idle.FirstToken).To(BeNumerically("<", 200*time.Millisecond))
 		e.Progress(time.Minute, "p#1", 1, peerpb.Stage_STAGE_READY)
@@ -115,17 +115,17 @@
 		Expect(short[0].Priority).To(BeNumerically("<", g[0].Priority))
 	})
 
-	It("notices an engine that answers but completes no step", func() {
+	It("detects an engine that answers but completes no step as hung", func() {
 		e := newEngine(sched.DefaultConfig())
 		for i := range 20 {
-			e.Load(time.Duration(i)*250*time.Millisecond, engine.Report{KVTotal: kv, Running: 1, Steps: 7})
+			e.ApplyReport(time.Duration(i)*250*time.Millisecond, engine.Report{KVTotal: kv, Running: 1, Steps: 7})
 		}
 		Expect(e.Hung()).To(BeTrue())
-		e.Load(6*time.Second, engine.Report{KVTotal: kv, Running: 1, Steps: 8})
+		e.ApplyReport(6*time.Second, engine.Report{KVTotal: kv, Running: 1, Steps: 8})
 		Expect(e.Hung()).To(BeFalse())
 	})
 
-	It("sends a grant again when the entry's renewal shows that it was lost", func() {
+	It("resends a grant when the entry's renewal shows that it was lost", func() {
 		e := newEngine(sched.DefaultConfig())
 		j := job("r", 1_000, time.Minute)
 		e.Reserve(0, "a", j)
@@ -135,39 +135,39 @@
 		Expect(g.ID).To(Equal("r"))
 	})
 
-	It("adopts what a former owner had granted", func() {
+	It("adopts a reservation granted by a previous owner", func() {
 		e := newEngine(sched.DefaultConfig())
 		j := job("r", 30_000, time.Minute)
 		e.Renew(0, "a", &peerpb.RenewItem{Job: j, Running: true, FirstToken: true})
-		Expect(e.Memory()).To(Equal(int64(30_010)))
+		Expect(e.ReservedMemory()).To(Equal(int64(30_010)))
 		e.Tick(time.Minute)
-		Expect(e.Memory()).To(BeZero(), "a reservation outlived its expiry")
+		Expect(e.ReservedMemory()).To(BeZero(), "a reservation outlived its expiry")
 	})
 
-	It("empties its belief of the prefix cache at a gap in the events", func() {
+	It("clears its prefix cache index at a gap in the events", func() {
 		e := newEngine(sched.DefaultConfig())
 		j := job("r", 3_000, time.Minute)
 		j.Prefix = []uint64{1, 2}
-		e.Events([]engine.CacheEvent{{Seq: 1, Hash: 1}, {Seq: 2, Hash: 2}})
+		e.ApplyCacheEvents([]engine.CacheEvent{{Seq: 1, Hash: 1}, {Seq: 2, Hash: 2}})
 		Expect(e.Quote(0, j).Cached).To(Equal(int64(2048)))
-		e.Events([]engine.CacheEvent{{Seq: 5, Hash: 9}})
+		e.ApplyCacheEvents([]engine.CacheEvent{{Seq: 5, Hash: 9}})
 		Expect(e.Quote(0, j).Cached).To(BeZero())
 	})
 
-	// Tutors wait behind a queue on one engine while others idle: the engine
-	// lost a cached prefix, the event was lost too, and its owner goes on
-	// promising the hit. The first answer that shows the miss ends the belief.
-	It("drops a belief in cached blocks that an answer disproves", func() {
+	// Requests queue on one engine while others are idle: the engine evicted a
+	// prefix, the event was lost, and its owner keeps predicting the hit. The
+	// first request that misses must correct the index.
+	It("forgets cached blocks after a request missed them", func() {
 		e := newEngine(sched.DefaultConfig())
 		j := job("r", 3_000, time.Minute)
 		j.Prefix = []uint64{1, 2}
-		e.Events([]engine.CacheEvent{{Seq: 1, Hash: 1}, {Seq: 2, Hash: 2}})
+		e.ApplyCacheEvents([]engine.CacheEvent{{Seq: 1, Hash: 1}, {Seq: 2, Hash: 2}})
 		e.Reserve(0, "a", j)
-		e.Found("r", 1, 0)
+		e.ObserveCachedTokens("r", 1, 0)
 		Expect(e.Quote(0, j).Cached).To(BeZero())
 	})
 
-	It("holds a flooding customer to its share while others wait, not alone", func() {
+	It("limits a flooding customer to its share only while others are waiting", func() {
 		e := newEngine(sched.DefaultConfig())
 		for i := range 40 {
 			j := job(fmt.Sprint("f", i), 2_000, time.Minute)
@@ -184,14 +184,14 @@
 	})
 })
 
-// TestAccountProperty drives an engine's account with random requests, faults
-// and lost messages and compares its memory with a plain sum.
+// TestAccountProperty applies random requests, faults and lost messages and
+// compares the reserved memory with the sum over the granted requests.
 func TestAccountProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := newEngine(sched.DefaultConfig())
 		now := time.Duration(0)
 		jobs := map[string]*peerpb.Job{}
-		holds := map[string]int64{}
+		heldMemory := map[string]int64{}
 		for i := range rapid.IntRange(10, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond
 			id := fmt.Sprint("r", rapid.IntRange(0, 15).Draw(t, "id"))
@@ -213,11 +213,11 @@
 				if j := jobs[id]; j != nil {
 					e.Progress(now, id, j.Attempt, peerpb.Stage_STAGE_DONE)
 					delete(jobs, id)
-					delete(holds, id)
+					delete(heldMemory, id)
 				}
 			case 4:
 				if j := jobs[id]; j != nil {
-					_, granted := holds[id]
+					_, granted := heldMemory[id]
 					e.Renew(now, "a", &peerpb.RenewItem{Job: j, Running: granted})
 				}
 			case 5:
@@ -225,24 +225,24 @@
 					now += time.Minute
 					e.Tick(now)
 					clear(jobs)
-					clear(holds)
+					clear(heldMemory)
 				}
 			}
 			for _, g := range e.Grants(now) {
 				if jobs[g.ID] == nil {
 					t.Fatalf("granted %s, which was not reserved", g.ID)
 				}
-				if _, twice := holds[g.ID]; twice {
+				if _, twice := heldMemory[g.ID]; twice {
 					t.Fatalf("granted %s twice", g.ID)
 				}
-				holds[g.ID] = jobs[g.ID].PromptTokens + jobs[g.ID].MaxTokens
+				heldMemory[g.ID] = jobs[g.ID].PromptTokens + jobs[g.ID].MaxTokens
 			}
 			sum := int64(0)
-			for _, m := range holds {
+			for _, m := range heldMemory {
 				sum += m
 			}
-			if sum != e.Memory() || sum > kv {
-				t.Fatalf("memory accounted %d, held %d of %d", e.Memory(), sum, kv)
+			if sum != e.ReservedMemory() || sum > kv {
+				t.Fatalf("reserved memory is %d, granted requests hold %d of %d", e.ReservedMemory(), sum, kv)
 			}
 		}
 	})
--- a/decide/sched/order.go
+++ b/decide/sched/order.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Work is what an Order knows of a request.
+// Work is the input of an Order.
 type Work struct {
 	Arrived  time.Duration
 	Target   time.Duration
 	Deadline time.Duration
-	// Prefill is the time the uncached prompt needs alone on the engine.
+	// Prefill is the time that the uncached prompt needs alone on the engine.
 	Prefill time.Duration
-	// Gang marks a part of a prompt that holds the memory of several engines.
+	// Gang marks a part of a prompt that spans several engines.
 	Gang bool
 	// Total is Prefill plus the time to generate the answer.
 	Total time.Duration
 }
 
-// Order is the extension point that ranks requests on one engine. Keys are
-// instants: the smaller key runs first. A key is fixed on arrival, so a
-// waiting request rises by itself as newer keys grow past it.
+// Order is the extension point that orders requests on one engine. Keys are
+// points in time; the smallest key runs first. A key is fixed on arrival, so a
+// waiting request moves ahead as the keys of newer requests increase.
 type Order interface {
 	Key(w Work) time.Duration
 }
@@ -34,7 +34,7 @@
 
 var orders = map[string]Order{}
 
-// RegisterOrder adds an order under a name; a duplicate is a defect.
+// RegisterOrder registers an order under a name and panics on a duplicate.
 func RegisterOrder(name string, o Order) {
 	if _, ok := orders[name]; ok {
 		panic(fmt.Sprintf("sched: order %q registered twice", name))
@@ -42,10 +42,10 @@
 	orders[name] = o
 }
 
-// LookupOrder finds a registered order.
+// LookupOrder returns the order registered under a name.
 func LookupOrder(name string) (Order, bool) { o, ok := orders[name]; return o, ok }
 
-// OrderNames lists the registered orders.
+// OrderNames returns the names of the registered orders, sorted.
 func OrderNames() []string {
 	var out []string
 	for n := range orders {
@@ -55,21 +55,21 @@
 	return out
 }
 
-// Stretch orders by a first-token deadline in proportion to a request's own
-// work. Each allowance is how many times its own prefill time a request may
-// take before it outranks shorter newcomers.
+// Stretch orders by a first-token deadline proportional to a request's own work.
+// Its fields are the multiples of its own prefill time that a request may wait
+// before it precedes newly arriving shorter requests.
 type Stretch struct {
-	// Quick applies to requests with a target, Gang to parts of a prompt whose
-	// other parts hold memory meanwhile. Requests that may wait have none: they
-	// are ranked by their latest start alone.
-	Quick, Gang float64
+	// Interactive applies to requests with a first-token target, Gang to parts of
+	// gangs, whose other parts hold memory meanwhile. Deferrable requests have no
+	// such multiple: their key is their latest start.
+	Interactive, Gang float64
 }
 
-// DefaultStretch holds the values chosen by measurement.
-var DefaultStretch = Stretch{Quick: 4, Gang: 1}
+// DefaultStretch holds the default multiples.
+var DefaultStretch = Stretch{Interactive: 4, Gang: 1}
 
-// slackMargin is the part of a request's own work kept in reserve when its
-// latest start is computed.
+// slackMargin is the factor by which a request's own time is overestimated when
+// its latest start is computed.
 const slackMargin = 1.25
 
 func init() {
@@ -83,25 +83,26 @@
 	return w.Deadline - time.Duration(float64(w.Total)*slackMargin)
 }
 
-// Key implements Order. A short request passes a long one; the latest start,
-// when it comes first, keeps a long request from being starved past its time.
+// Key implements Order. Short requests precede long ones; the latest start keeps
+// a long request from being starved past its deadline.
 func (s Stretch) Key(w Work) time.Duration {
 	latest := latestStart(w)
 	switch {
 	case w.Gang:
 		return min(w.Arrived+time.Duration(s.Gang*float64(w.Prefill)), latest)
-	case patient(w.Target, w.Deadline-w.Arrived):
+	case isDeferrable(w.Target, w.Deadline-w.Arrived):
 		return latest
 	default:
-		return min(w.Arrived+time.Duration(s.Quick*float64(w.Prefill)), latest)
+		return min(w.Arrived+time.Duration(s.Interactive*float64(w.Prefill)), latest)
 	}
 }
 
-// mayWait is the part of the time limit from which a target counts as none.
-const mayWait = 0.9
+// deferrableTargetShare is the share of the time limit from which a first-token
+// target counts as none.
+const deferrableTargetShare = 0.9
 
-// patient reports whether a request may wait: it has no target of its own for
-// the first token.
-func patient(target, limit time.Duration) bool {
-	return target >= time.Duration(mayWait*float64(limit))
+// isDeferrable reports whether a request has no first-token target below its
+// time limit and can therefore wait.
+func isDeferrable(target, limit time.Duration) bool {
+	return target >= time.Duration(deferrableTargetShare*float64(limit))
 }
--- a/decide/sched/predict.go
+++ b/decide/sched/predict.go
@@ -8,41 +8,43 @@
 	"github.com/auburnmoor/auburnmoor/result"
 )
 
-// plan computes where a job would stand on this engine.
-func (e *Engine) plan(now time.Duration, j *peerpb.Job) *reservation {
-	work := float64(j.PromptTokens - e.cached(j))
+// newReservation computes a job's work, memory and queue position.
+func (e *Engine) newReservation(now time.Duration, j *peerpb.Job) *reservation {
+	work := float64(j.PromptTokens - e.cachedTokens(j))
 	r := &reservation{
-		job: j, work: work, left: work, memory: memoryOf(j), early: j.Gang > 1,
-		deadline: now + us(j.RemainingUs),
+		job: j, work: work, remaining: work, memory: memoryNeeded(j), awaitingTurn: j.Gang > 1,
+		deadline: now + usDuration(j.RemainingUs),
 	}
-	if r.early {
-		r.left = 0
+	if r.awaitingTurn {
+		r.remaining = 0
 	}
-	r.key = e.key(now, r)
+	r.key = e.orderKey(now, r)
 	return r
 }
 
-// key ranks a reservation that could run from now on.
-func (e *Engine) key(now time.Duration, r *reservation) time.Duration {
-	prefill := e.seconds(r.work)
+// orderKey returns the key of a reservation that is runnable from now on.
+func (e *Engine) orderKey(now time.Duration, r *reservation) time.Duration {
+	prefill := e.prefillTime(r.work)
 	key := e.order.Key(Work{
-		Arrived: now, Target: us(r.job.TargetUs), Deadline: r.deadline,
-		Prefill: prefill, Total: prefill + e.generate(r.job), Gang: r.job.Gang > 1,
+		Arrived: now, Target: usDuration(r.job.TargetUs), Deadline: r.deadline,
+		Prefill: prefill, Total: prefill + e.decodeTime(r.job), Gang: r.job.Gang > 1,
 	})
-	if x := e.shares.excess(now, r.job.Customer, r.job.Weight); x > 0 {
+	if x := e.usage.excess(now, r.job.Customer, r.job.Weight); x > 0 {
 		key += time.Duration(x * float64(sharePenalty))
 	}
 	return key
 }
 
-// sharePenalty is the delay in rank of a customer that takes everything.
+// sharePenalty is added to the key for an excess of 1.
 const sharePenalty = 8 * time.Second
 
-func (e *Engine) generate(j *peerpb.Job) time.Duration { return time.Duration(j.MaxTokens) * e.step }
+func (e *Engine) decodeTime(j *peerpb.Job) time.Duration {
+	return time.Duration(j.MaxTokens) * e.stepTime
+}
 
-func us(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
+func usDuration(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
 
-// Prediction is what an engine can promise a job.
+// Prediction is the predicted execution of a job, or the reason to refuse it.
 type Prediction struct {
 	FirstToken time.Duration
 	Finish     time.Duration
@@ -55,13 +57,13 @@
 func (e *Engine) Quote(now time.Duration, j *peerpb.Job) Prediction {
 	e.counts.Quotes++
 	e.advance(now)
-	return e.predict(now, e.plan(now, j))
+	return e.predict(now, e.newReservation(now, j))
 }
 
 func (e *Engine) predict(now time.Duration, r *reservation) Prediction {
 	p := Prediction{Cached: r.job.PromptTokens - int64(r.work)}
 	switch {
-	case !e.Known():
+	case !e.HasReport():
 		p.Refusal, p.RetryAfter = result.NoBackend, time.Second
 		return p
 	case r.memory > e.kvTotal:
@@ -76,117 +78,120 @@
 		if o.key > r.key {
 			break
 		}
-		ahead += o.left
+		ahead += o.remaining
 	}
-	start := max(e.seconds(ahead), e.memoryWait(now, r))
-	p.FirstToken = start + e.seconds(r.work) + e.step
-	p.Finish = start + e.seconds(r.work/e.demand.left(now, r.work, e.rate)) + e.generate(r.job)
+	start := max(e.prefillTime(ahead), e.memoryWait(now, r))
+	p.FirstToken = start + e.prefillTime(r.work) + e.stepTime
+	p.Finish = start + e.prefillTime(r.work/e.demand.remainingShare(now, r.work, e.prefillRate)) + e.decodeTime(r.job)
 	e.admit(now, r, &p)
 	return p
 }
 
-// admit refuses what would miss its own deadline or make an admitted request
-// miss its. Without the second check a stream of short requests would push an
-// admitted long one past its time, since each of them alone looks harmless.
+// admit refuses a request that would miss its own deadline or make an admitted
+// one miss its deadline. Without the second check, many short requests, none of
+// which delays a long one by much, would together push it past its deadline.
 func (e *Engine) admit(now time.Duration, r *reservation, p *Prediction) {
-	if late := p.Finish - e.timeFor(now, r); late > 0 {
+	if overrun := p.Finish - e.finishLimit(now, r); overrun > 0 {
 		p.Refusal = result.CannotFinishInTime
-		p.RetryAfter = max(late, minRetryAfter)
+		p.RetryAfter = max(overrun, minRetryAfter)
 		return
 	}
 	if e.overShare(now, r) {
 		p.Refusal, p.RetryAfter = result.ShareExceeded, max(e.backlog()/2, minRetryAfter)
 		return
 	}
-	cum := 0.0
+	ahead := 0.0
 	for _, o := range e.pending {
-		cum += o.left
+		ahead += o.remaining
 		if o.key <= r.key {
 			continue
 		}
-		finish := now + e.seconds(cum+r.work) + e.generate(o.job)
-		if finish > o.deadline && finish-e.seconds(r.work) <= o.deadline {
-			p.Refusal, p.RetryAfter = result.Overloaded, max(e.seconds(o.left), minRetryAfter)
+		finish := now + e.prefillTime(ahead+r.work) + e.decodeTime(o.job)
+		if finish > o.deadline && finish-e.prefillTime(r.work) <= o.deadline {
+			p.Refusal, p.RetryAfter = result.Overloaded, max(e.prefillTime(o.remaining), minRetryAfter)
 			return
 		}
 	}
 }
 
-// aloneMargin is how many times its own work a patient request always gets.
-const aloneMargin = 1.5
+// minDeferrableStretch is the least time allowed for a deferrable request, as a
+// multiple of the time that it needs alone on the engine.
+const minDeferrableStretch = 1.5
 
-// timeFor is the time within which a request must be predicted to finish.
-func (e *Engine) timeFor(now time.Duration, r *reservation) time.Duration {
+// finishLimit returns the time within which a request must be predicted to
+// finish to be admitted.
+func (e *Engine) finishLimit(now time.Duration, r *reservation) time.Duration {
 	limit := r.deadline - now
-	if !patient(us(r.job.TargetUs), limit) {
+	if !isDeferrable(usDuration(r.job.TargetUs), limit) {
 		return limit
 	}
-	alone := e.seconds(r.work) + e.generate(r.job)
-	part := max(time.Duration(float64(limit)*e.cfg.PatientShare), time.Duration(aloneMargin*float64(alone)))
-	return min(limit, part)
+	ownTime := e.prefillTime(r.work) + e.decodeTime(r.job)
+	share := max(time.Duration(float64(limit)*e.cfg.PatientShare), time.Duration(minDeferrableStretch*float64(ownTime)))
+	return min(limit, share)
 }
 
-// minRetryAfter keeps refused callers from coming back at once.
+// minRetryAfter keeps refused callers from retrying at once.
 const minRetryAfter = 100 * time.Millisecond
 
-// contended is the backlog from which customer shares are enforced.
-const contended = 2 * time.Second
+// contendedBacklog is the backlog from which customer shares are enforced.
+const contendedBacklog = 2 * time.Second
 
-// overShare tells whether the customer has more than its share of a contended
-// backlog. An idle engine is free to all, and requests that may wait are only
-// ranked lower.
+// overShare reports whether the customer exceeds its share of a contended
+// backlog. Shares are not enforced on an idle engine, and deferrable requests are
+// only ranked lower.
 func (e *Engine) overShare(now time.Duration, r *reservation) bool {
-	if patient(us(r.job.TargetUs), r.deadline-now) {
+	if isDeferrable(usDuration(r.job.TargetUs), r.deadline-now) {
 		return false
 	}
-	total, own := 0.0, 0.0
+	total, customerWork := 0.0, 0.0
 	for _, o := range e.pending {
-		total += o.left
+		total += o.remaining
 		if o.job.Customer == r.job.Customer {
-			own += o.left
+			customerWork += o.remaining
 		}
 	}
-	if e.seconds(total) < contended || own < total/2 || own == total {
+	if e.prefillTime(total) < contendedBacklog || customerWork < total/2 || customerWork == total {
 		return false
 	}
-	return e.shares.excess(now, r.job.Customer, r.job.Weight) > 0
+	return e.usage.excess(now, r.job.Customer, r.job.Weight) > 0
 }
 
 func (e *Engine) backlog() time.Duration {
 	total := 0.0
 	for _, o := range e.pending {
-		total += o.left
+		total += o.remaining
 	}
-	return e.seconds(total)
+	return e.prefillTime(total)
 }
 
-// memoryWait estimates when enough KV memory is free for r.
+// memoryWait estimates the time until enough KV memory is free for r.
 func (e *Engine) memoryWait(now time.Duration, r *reservation) time.Duration {
-	missing := e.memory + r.memory - e.limit(r)
+	missing := e.reservedMemory + r.memory - e.memoryLimit(r)
 	if missing <= 0 {
 		return 0
 	}
-	var ends []*reservation
+	var finishing []*reservation
 	for _, o := range e.byID {
 		if o.phase == decoding {
-			ends = append(ends, o)
+			finishing = append(finishing, o)
 		}
 	}
-	slices.SortFunc(ends, func(a, b *reservation) int { return int(a.endsAt - b.endsAt) })
-	for _, o := range ends {
+	slices.SortFunc(finishing, func(a, b *reservation) int { return int(a.expectedEnd - b.expectedEnd) })
+	for _, o := range finishing {
 		missing -= o.memory
 		if missing <= 0 {
-			return max(o.endsAt-now, 0)
+			return max(o.expectedEnd-now, 0)
 		}
 	}
 	return e.backlog()
 }
 
-// limit is the memory that r may fill: the last part is kept for small ones.
-func (e *Engine) limit(r *reservation) int64 {
-	reserve := int64(float64(e.kvTotal) * e.cfg.Headroom)
-	if r.memory <= reserve || e.memory == 0 {
+// memoryLimit returns the memory that reservations may fill up to r: the headroom
+// is left to small requests.
+func (e *Engine) memoryLimit(r *reservation) int64 {
+	headroom := int64(float64(e.kvTotal) * e.cfg.Headroom)
+	if r.memory <= headroom || e.reservedMemory == 0 {
 		return e.kvTotal
 	}
-	return e.kvTotal - reserve
+	return e.kvTotal - headroom
 }
--- a/decide/sched/share.go
+++ b/decide/sched/share.go
@@ -5,60 +5,60 @@
 	"time"
 )
 
-// shareMemory is the time constant over which use is remembered.
-const shareMemory = 10 * time.Second
+// usageTimeConstant is the time constant of the exponential decay of usage.
+const usageTimeConstant = 10 * time.Second
 
-// shareFloor is the use below which a customer counts as inactive and is
-// forgotten, so memory is bounded by the active customers.
-const shareFloor = 1.0
+// minActiveUsage is the usage in tokens below which a customer is inactive and
+// removed, so that memory is bounded by the number of active customers.
+const minActiveUsage = 1.0
 
-type use struct {
-	customer string
-	tokens   float64
-	weight   float64
-	at       time.Duration
+type customerUsage struct {
+	customer  string
+	tokens    float64
+	weight    float64
+	updatedAt time.Duration
 }
 
-// shareBook tracks each active customer's recent use of one engine. Requests
-// are spread over engines at random, so holding the share on every engine
-// holds it over the fleet, without a central counter.
-type shareBook struct {
-	customers map[string]*use
-	// order makes sums of floating-point numbers independent of map order.
-	order []*use
+// usageTracker tracks the recent usage of one engine per customer. Requests are
+// spread over engines at random, so enforcing shares on every engine enforces
+// them in the whole fleet without a central counter.
+type usageTracker struct {
+	customers map[string]*customerUsage
+	// order makes floating-point sums independent of the map's iteration order.
+	order []*customerUsage
 }
 
-func newShareBook() shareBook { return shareBook{customers: map[string]*use{}} }
+func newUsageTracker() usageTracker { return usageTracker{customers: map[string]*customerUsage{}} }
 
-func (u *use) decayed(now time.Duration) float64 {
-	return u.tokens * math.Exp(-float64(now-u.at)/float64(shareMemory))
+func (u *customerUsage) decayed(now time.Duration) float64 {
+	return u.tokens * math.Exp(-float64(now-u.updatedAt)/float64(usageTimeConstant))
 }
 
-func (b *shareBook) charge(now time.Duration, customer string, weight int64, tokens int64) {
+func (b *usageTracker) charge(now time.Duration, customer string, weight int64, tokens int64) {
 	u := b.customers[customer]
 	if u == nil {
-		u = &use{customer: customer}
+		u = &customerUsage{customer: customer}
 		b.customers[customer] = u
 		b.order = append(b.order, u)
 	}
 	u.tokens = max(u.decayed(now), 0) + float64(tokens)
-	u.at = now
+	u.updatedAt = now
 	u.weight = float64(max(weight, 1))
 }
 
-// excess returns by how much the customer's part of the recent use exceeds its
-// fair part, between 0 and 1; alone on the engine nobody exceeds.
-func (b *shareBook) excess(now time.Duration, customer string, weight int64) float64 {
+// excess returns by how much the customer's share of the recent usage exceeds its
+// fair share, from 0 to 1. It is 0 for the only active customer.
+func (b *usageTracker) excess(now time.Duration, customer string, weight int64) float64 {
 	total, weights := 0.0, 0.0
 	kept := b.order[:0]
 	for _, u := range b.order {
-		t := u.decayed(now)
-		if t < shareFloor && u.customer != customer {
+		recent := u.decayed(now)
+		if recent < minActiveUsage && u.customer != customer {
 			delete(b.customers, u.customer)
 			continue
 		}
 		kept = append(kept, u)
-		total += t
+		total += recent
 		weights += u.weight
 	}
 	b.order = kept
@@ -66,6 +66,6 @@
 	if u == nil || total == 0 || len(b.customers) < 2 {
 		return 0
 	}
-	fair := float64(max(weight, 1)) / weights
-	return max(0, u.decayed(now)/total-fair)
+	fairShare := float64(max(weight, 1)) / weights
+	return max(0, u.decayed(now)/total-fairShare)
 }
