--- a/decide/sched/predict.go
+++ b/decide/sched/predict.go
@@ -186,8 +186,8 @@
 	return e.backlog()
 }
 
-// memoryLimit returns the memory that reservations may fill up to r: the headroom
-// is left to small requests.
+// memoryLimit returns the bound on the reserved memory including r. Only small
+// requests may use the headroom.
 func (e *Engine) memoryLimit(r *reservation) int64 {
 	headroom := int64(float64(e.kvTotal) * e.cfg.Headroom)
 	if r.memory <= headroom || e.reservedMemory == 0 {
