--- a/decide/place/place.go
+++ b/decide/place/place.go
@@ -1,5 +1,5 @@
-// Package place derives owners and affinities from names alone, so that every
-// instance with the same member list reaches the same answer without a store.
+// Package place maps keys to members by hashing their names, so that instances
+// with the same member list agree on the result without coordination.
 package place
 
 import (
@@ -10,19 +10,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Owner returns the member responsible for key by rendezvous hashing: when a
-// member leaves, only its own keys move. It returns "" without members.
+// Owner returns the owner of key by rendezvous hashing: when a member leaves, only
+// its own keys move. It returns "" if there are no members.
 func Owner(key string, members []string) string {
-	best, owner := uint64(0), ""
+	bestScore, owner := uint64(0), ""
 	for _, m := range members {
-		if s := score(key, m); owner == "" || s > best || (s == best && m < owner) {
-			best, owner = s, m
+		if s := score(key, m); owner == "" || s > bestScore || (s == bestScore && m < owner) {
+			bestScore, owner = s, m
 		}
 	}
 	return owner
 }
 
-// Rank returns the first n members in order of their score for key.
+// Rank returns the n members with the highest scores for key, in that order.
 func Rank(key string, members []string, n int) []string {
 	out := slices.Clone(members)
 	slices.SortFunc(out, func(a, b string) int {
@@ -34,22 +34,23 @@
 	return out[:min(n, len(out))]
 }
 
-// usualWeight is the weight of a member that does not tell one.
-const usualWeight = 400
+// defaultWeight is the weight of a member that does not report one.
+const defaultWeight = 400
 
-// Weighted is the score of a member for key by weighted rendezvous hashing: the chance
-// to have the highest one grows with the weight. A zero weight stands for a usual one.
+// Weighted returns the score of a member for key by weighted rendezvous hashing:
+// the chance of the highest score is proportional to the weight. A zero weight
+// stands for the default weight.
 func Weighted(key, member string, weight uint32) float64 {
 	if weight == 0 {
-		weight = usualWeight
+		weight = defaultWeight
 	}
-	const most = 1 << 53
-	u := (float64(score(key, member)>>11) + 0.5) / most
+	const resolution = 1 << 53
+	u := (float64(score(key, member)>>11) + 0.5) / resolution
 	return -float64(weight) / math.Log(u)
 }
 
-// Among reports whether self is one of the first n members for key: one of the
-// few that do a duty which the others leave to them.
+// Among reports whether self is one of the n highest-ranked members for key, for
+// tasks that only a few members perform.
 func Among(self, key string, members []string, n int) bool {
 	return slices.Contains(Rank(key, members, n), self)
 }
@@ -63,7 +64,7 @@
 	return d.Sum64()
 }
 
-// pointsPerTarget is the number of positions of each target on a Ring.
+// pointsPerTarget is the number of points (virtual nodes) of a target on a Ring.
 const pointsPerTarget = 16
 
 type point struct {
@@ -71,24 +72,24 @@
 	target int32
 }
 
-// Ring maps hashes to targets consistently with a look-up in O(log n).
+// Ring maps hashes to targets by consistent hashing, with look-up in O(log n).
 type Ring struct{ points []point }
 
-// NewRing places the named targets on a ring.
+// NewRing returns a ring of the named targets.
 func NewRing(names []string) Ring {
 	points := make([]point, 0, len(names)*pointsPerTarget)
 	for i, n := range names {
 		h := xxhash.Sum64String(n)
 		for range pointsPerTarget {
 			points = append(points, point{at: h, target: int32(i)})
-			h = mix(h)
+			h = splitmix64(h)
 		}
 	}
 	slices.SortFunc(points, func(a, b point) int { return cmp.Compare(a.at, b.at) })
 	return Ring{points: points}
 }
 
-// Lookup returns the index of the target for h, or -1 on an empty ring.
+// Lookup returns the index of the target for h, or -1 if the ring is empty.
 func (r Ring) Lookup(h uint64) int {
 	if len(r.points) == 0 {
 		return -1
@@ -97,34 +98,35 @@
 	return int(r.points[i%len(r.points)].target)
 }
 
-// mix is the finalizer of splitmix64.
-func mix(x uint64) uint64 {
+// splitmix64 is one step of the generator of that name.
+func splitmix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
 	x = (x ^ (x >> 27)) * 0x94d049bb133111eb
 	return x ^ (x >> 31)
 }
 
-// Assign gives every key an owner so that no member gets more than one key
-// above an even share. Keys are taken in order and go to their best member
-// that has room; a change of one member moves few keys beside its own. Plain
-// rendezvous hashing left one of three instances with five of six engines.
+// Assign assigns each key an owner such that no member owns more than the even
+// share, rounded up. Each key, in sorted order, goes to the member with the highest
+// score that is not full, so a change of one member moves few keys besides its own.
+// Plain rendezvous hashing is uneven: one of three instances owned five of six
+// engines.
 func Assign(keys, members []string) map[string]string {
 	out := make(map[string]string, len(keys))
 	if len(members) == 0 {
 		return out
 	}
-	room := (len(keys) + len(members) - 1) / len(members)
+	maxKeys := (len(keys) + len(members) - 1) / len(members)
 	load := make(map[string]int, len(members))
 	sorted := slices.Sorted(slices.Values(keys))
 	for _, k := range sorted {
-		best, owner := uint64(0), ""
+		bestScore, owner := uint64(0), ""
 		for _, m := range members {
-			if load[m] >= room {
+			if load[m] >= maxKeys {
 				continue
 			}
-			if s := score(k, m); owner == "" || s > best || (s == best && m < owner) {
-				best, owner = s, m
+			if s := score(k, m); owner == "" || s > bestScore || (s == bestScore && m < owner) {
+				bestScore, owner = s, m
 			}
 		}
 		out[k] = owner
--- a/decide/place/place_test.go
+++ b/decide/place/place_test.go
@@ -21,19 +21,19 @@
 	return out
 }
 
-var _ = Describe("placing keys on members", func() {
+var _ = Describe("assigning keys to members", func() {
 	It("moves only the keys of a member that leaves", func() {
 		all := names("m", 9)
 		rest := all[1:]
 		for _, k := range names("k", 200) {
-			if was := place.Owner(k, all); was != "m0" {
-				Expect(place.Owner(k, rest)).To(Equal(was))
+			if before := place.Owner(k, all); before != "m0" {
+				Expect(place.Owner(k, rest)).To(Equal(before))
 			}
 		}
 	})
 
-	// One of three instances owned five of six engines and did most of the work
-	// of placing: plain rendezvous hashing is uneven for few keys.
+	// One of three instances owns five of six engines and most of the scheduling
+	// work, because plain rendezvous hashing is uneven for few keys.
 	It("assigns an even share to every member, and moves few keys when one leaves", func() {
 		keys, all := names("engine-", 20), names("m", 7)
 		before := place.Assign(keys, all)
@@ -53,7 +53,7 @@
 		Expect(moved).To(BeNumerically("<=", 8))
 	})
 
-	It("finds ring targets evenly and the same way each time", func() {
+	It("distributes hashes over ring targets evenly", func() {
 		r := place.NewRing(names("e", 10))
 		count := make([]int, 10)
 		for i := range uint64(10_000) {
--- a/decide/prefix/prefix.go
+++ b/decide/prefix/prefix.go
@@ -1,14 +1,14 @@
-// Package prefix turns a prompt into the block hashes by which engines and
-// schedulers speak about shared prompt prefixes.
+// Package prefix computes the block hashes of a prompt, by which engines and
+// schedulers identify shared prompt prefixes.
 //
-// Hash i covers everything up to the end of block i, so one equal hash proves
-// that the whole prefix up to it is equal. A scheduler therefore needs only a
+// Hash i covers the prompt up to the end of block i, so two prompts with an equal
+// hash have the same prefix up to that block. A scheduler therefore needs only a
 // geometric sample of the hashes: about 20 for a million tokens.
 package prefix
 
 import "github.com/cespare/xxhash/v2"
 
-// Sizes of the tokenizer model and of a cache block.
+// Sizes of a token, as estimated without a tokenizer, and of a cache block.
 const (
 	BytesPerToken  = 4
 	TokensPerBlock = 1024
@@ -32,7 +32,7 @@
 	return out
 }
 
-// Sample keeps the hashes at the positions of Position.
+// Sample returns the hashes of chain at the block counts given by Position.
 func Sample(chain []uint64) []uint64 {
 	var out []uint64
 	for i := 0; Position(i) <= len(chain); i++ {
@@ -54,10 +54,10 @@
 	return base
 }
 
-// CachedTokens returns how many leading tokens of a sampled prefix are known.
-func CachedTokens(sample []uint64, known func(uint64) bool) int64 {
+// CachedTokens returns the length of the longest sampled prefix that is cached.
+func CachedTokens(sample []uint64, cached func(uint64) bool) int64 {
 	for i := len(sample) - 1; i >= 0; i-- {
-		if known(sample[i]) {
+		if cached(sample[i]) {
 			return int64(Position(i) * TokensPerBlock)
 		}
 	}
