--- a/decide/prefix/prefix.go
+++ b/decide/prefix/prefix.go
@@ -32,18 +32,18 @@
 	return out
 }
 
-// Sample returns the hashes of chain at the block counts given by Position.
+// Sample returns the hashes of chain at the block counts given by SampleBlocks.
 func Sample(chain []uint64) []uint64 {
 	var out []uint64
-	for i := 0; Position(i) <= len(chain); i++ {
-		out = append(out, chain[Position(i)-1])
+	for i := 0; SampleBlocks(i) <= len(chain); i++ {
+		out = append(out, chain[SampleBlocks(i)-1])
 	}
 	return out
 }
 
-// Position returns the number of blocks that sample i covers: 1, 2, 3, 4, 6,
+// SampleBlocks returns the number of blocks that sample i covers: 1, 2, 3, 4, 6,
 // 8, 12, 16, ...
-func Position(i int) int {
+func SampleBlocks(i int) int {
 	if i == 0 {
 		return 1
 	}
@@ -58,7 +58,7 @@
 func CachedTokens(sample []uint64, cached func(uint64) bool) int64 {
 	for i := len(sample) - 1; i >= 0; i-- {
 		if cached(sample[i]) {
-			return int64(Position(i) * TokensPerBlock)
+			return int64(SampleBlocks(i) * TokensPerBlock)
 		}
 	}
 	return 0
