--- a/decide/dispatch/gang.go
+++ b/decide/dispatch/gang.go
@@ -59,7 +59,7 @@
 // formGang selects the engines with the earliest quotes and reserves them in
 // the order of their names.
 func (n *Node) formGang(now time.Duration, r *request) {
-	slices.SortStableFunc(r.quotes, func(a, b quote) int { return cmp.Compare(a.firstToken, b.firstToken) })
+	slices.SortStableFunc(r.quotes, func(a, b quote) int { return cmp.Compare(a.predictedFirstToken, b.predictedFirstToken) })
 	var free []*EngineInfo
 	for _, q := range r.quotes {
 		if e := n.dir.byName[q.engine]; e != nil && q.code == result.OK {
--- a/decide/dispatch/node.go
+++ b/decide/dispatch/node.go
@@ -156,7 +156,7 @@
 	n.actions = append(n.actions, Send{To: to, Env: env})
 }
 
-func (n *Node) emit(a Action) { n.actions = append(n.actions, a) }
+func (n *Node) addAction(a Action) { n.actions = append(n.actions, a) }
 
 func (n *Node) tick(now time.Duration) {
 	n.checkRequests(now)
--- a/decide/dispatch/request.go
+++ b/decide/dispatch/request.go
@@ -49,10 +49,10 @@
 
 // quote is a reply to a QuoteRequest.
 type quote struct {
-	engine     string
-	firstToken time.Duration
-	code       result.Code
-	chosen     bool
+	engine              string
+	predictedFirstToken time.Duration
+	code                result.Code
+	chosen              bool
 	// unready marks a reply from an instance that does not own the engine, or
 	// has had no load report since it took it over.
 	unready bool
--- a/decide/dispatch/router.go
+++ b/decide/dispatch/router.go
@@ -79,7 +79,7 @@
 	if !q.Owned {
 		code = result.NoBackend
 	}
-	r.quotes = append(r.quotes, quote{engine: q.Engine, firstToken: usDuration(q.FirstTokenUs), code: code, unready: !q.Owned})
+	r.quotes = append(r.quotes, quote{engine: q.Engine, predictedFirstToken: usDuration(q.FirstTokenUs), code: code, unready: !q.Owned})
 	r.noteRefusal(code, usDuration(q.RetryAfterUs))
 	if code != result.OK {
 		r.record.addCandidate(q.Engine, 0, code.String())
@@ -101,7 +101,7 @@
 		if q.chosen || q.code != result.OK {
 			continue
 		}
-		if best < 0 || q.firstToken < r.quotes[best].firstToken {
+		if best < 0 || q.predictedFirstToken < r.quotes[best].predictedFirstToken {
 			best = i
 		}
 	}
@@ -113,11 +113,11 @@
 	q.chosen = true
 	for i, o := range r.quotes {
 		if i != best && o.code == result.OK && !o.chosen {
-			r.record.addCandidate(o.engine, o.firstToken, "later first token than "+q.engine)
+			r.record.addCandidate(o.engine, o.predictedFirstToken, "later first token than "+q.engine)
 		}
 	}
-	r.record.addCandidate(q.engine, q.firstToken, "")
-	n.reserve(now, r, q.engine, q.firstToken)
+	r.record.addCandidate(q.engine, q.predictedFirstToken, "")
+	n.reserve(now, r, q.engine, q.predictedFirstToken)
 }
 
 // nextRound asks other candidates after all of the last round refused or were
@@ -248,7 +248,7 @@
 	p.state, p.segment = partStarted, seg
 	p.grantDeadline = 0
 	r.record.addAttempt(now, p.engine, p.job.Attempt)
-	n.emit(Start{Request: r.job.Id, ID: p.id, Attempt: p.job.Attempt, Engine: p.engine, Priority: p.priority, Segment: seg})
+	n.addAction(Start{Request: r.job.Id, ID: p.id, Attempt: p.job.Attempt, Engine: p.engine, Priority: p.priority, Segment: seg})
 }
 
 func (n *Node) onFirstToken(now time.Duration, ev StreamFirst) {
@@ -326,7 +326,7 @@
 	// attempt that it continues has reached the engine.
 	p.req.sentBefore = true
 	p.req.record.setVerdict("resumed")
-	n.emit(Start{Request: p.req.job.Id, ID: p.id, Attempt: p.job.Attempt, Engine: p.engine, Resume: true, Segment: p.segment})
+	n.addAction(Start{Request: p.req.job.Id, ID: p.id, Attempt: p.job.Attempt, Engine: p.engine, Resume: true, Segment: p.segment})
 }
 
 func (n *Node) onCallerGone(now time.Duration, id string) {
@@ -389,7 +389,7 @@
 	}
 	n.release(r, stage)
 	n.finish(now, r, err.Code.String())
-	n.emit(Finish{ID: r.job.Id, Err: err})
+	n.addAction(Finish{ID: r.job.Id, Err: err})
 }
 
 func (n *Node) finish(now time.Duration, r *request, outcome string) {
@@ -407,7 +407,7 @@
 			continue
 		}
 		if p.state >= partStarted {
-			n.emit(Cancel{Engine: p.engine, Stream: p.streamID()})
+			n.addAction(Cancel{Engine: p.engine, Stream: p.streamID()})
 		}
 		n.reportProgress(p, stage)
 	}
--- a/decide/sched/reserve.go
+++ b/decide/sched/reserve.go
@@ -15,7 +15,7 @@
 	if r, ok := e.byID[j.Id]; ok && r.job.Attempt == j.Attempt {
 		return Prediction{}
 	}
-	e.remove(j.Id)
+	e.removeReservation(j.Id)
 	r := e.newReservation(now, j)
 	p := e.predict(now, r)
 	if p.Refusal != result.OK {
@@ -128,10 +128,10 @@
 		e.applyFirstToken(now, r)
 	case peerpb.Stage_STAGE_DONE:
 		e.counts.Done++
-		e.remove(id)
+		e.removeReservation(id)
 	default:
 		e.counts.Cancelled++
-		e.remove(id)
+		e.removeReservation(id)
 	}
 }
 
@@ -151,7 +151,7 @@
 	e.pending = slices.DeleteFunc(e.pending, func(o *reservation) bool { return o == r })
 }
 
-func (e *Engine) remove(id string) {
+func (e *Engine) removeReservation(id string) {
 	r, ok := e.byID[id]
 	if !ok {
 		return
@@ -188,7 +188,7 @@
 }
 
 func (e *Engine) adopt(now time.Duration, entry string, item *peerpb.RenewItem) {
-	e.remove(item.Job.Id)
+	e.removeReservation(item.Job.Id)
 	r := e.newReservation(now, item.Job)
 	r.entry = entry
 	e.insert(now, r)
@@ -217,7 +217,7 @@
 	for id, r := range e.byID {
 		if r.expiresAt <= now {
 			e.counts.Expired++
-			e.remove(id)
+			e.removeReservation(id)
 		}
 	}
 }
@@ -241,7 +241,7 @@
 	for _, r := range slices.Clone(e.pending) {
 		if r.phase == queued || e.hung || !e.HasReport() {
 			out = append(out, Grant{Entry: r.entry, ID: r.job.Id, Attempt: r.job.Attempt})
-			e.remove(r.job.Id)
+			e.removeReservation(r.job.Id)
 		}
 	}
 	return out
