--- a/decide/dispatch/router.go
+++ b/decide/dispatch/router.go
@@ -152,8 +152,8 @@
 	r.wakeAt = now + d
 }
 
-// giveUp fails the request at once instead of holding it until its deadline, so
-// that the caller can retry elsewhere.
+// giveUp fails the request at once: waiting until its deadline would only cost
+// the caller time.
 func (n *Node) giveUp(now time.Duration, r *request) {
 	code, retryAfter := r.bestRefusal.code, r.bestRefusal.retryAfter
 	if code == result.OK {
