--- a/serve/relay/events.go
+++ b/serve/relay/events.go
@@ -9,36 +9,36 @@
 	"github.com/auburnmoor/auburnmoor/decide/sequence"
 )
 
-// maxEvent bounds one event of a stream in bytes.
-const maxEvent = 1 << 20
+// maxEventBytes bounds one event of a stream.
+const maxEventBytes = 1 << 20
 
 var (
-	errEventTooLarge = errors.New("event exceeds the limit")
+	errEventTooLarge = errors.New("event exceeds the size limit")
 	errEventGap      = errors.New("an event is missing")
 )
 
-// events cuts a stream into whole events, so that a stream which breaks in the
-// middle of one can be continued by another server without joining two halves.
-type events struct {
-	rest  []byte
-	order sequence.Order
-	// lastRaw is the id of the last whole event as it was sent.
-	lastRaw string
+// eventSplitter splits a stream into whole events. A stream that breaks off inside an
+// event can then be resumed at another server without joining two partial events.
+type eventSplitter struct {
+	buffered []byte
+	order    sequence.Order
+	// lastID is the id of the last whole event as it was sent.
+	lastID string
 }
 
-// feed adds bytes and returns the whole events that are new, or nil. Events up
-// to the last one seen are dropped; a gap is an error.
-func (e *events) feed(p []byte) ([]byte, error) {
-	e.rest = append(e.rest, p...)
+// feed adds bytes and returns the whole events that are new, or nil. Events that
+// were returned before are dropped; a gap in the numbers is an error.
+func (e *eventSplitter) feed(p []byte) ([]byte, error) {
+	e.buffered = append(e.buffered, p...)
 	var out []byte
 	for {
-		end := bytes.Index(e.rest, []byte("\n\n"))
+		end := bytes.Index(e.buffered, []byte("\n\n"))
 		if end < 0 {
 			break
 		}
-		ev := e.rest[:end+2]
-		e.rest = e.rest[end+2:]
-		fresh, err := e.accept(ev)
+		ev := e.buffered[:end+2]
+		e.buffered = e.buffered[end+2:]
+		fresh, err := e.checkOrder(ev)
 		if err != nil {
 			return out, err
 		}
@@ -46,39 +46,40 @@
 			out = append(out, ev...)
 		}
 	}
-	if len(e.rest) > maxEvent {
+	if len(e.buffered) > maxEventBytes {
 		return out, errEventTooLarge
 	}
 	return out, nil
 }
 
-func (e *events) accept(ev []byte) (fresh bool, err error) {
+// checkOrder reports whether an event is new. Events without a number always are.
+func (e *eventSplitter) checkOrder(ev []byte) (fresh bool, err error) {
 	raw, ok := eventID(ev)
 	if !ok {
 		return true, nil
 	}
 	id, err := strconv.ParseInt(raw, 10, 64)
 	if err != nil {
-		e.lastRaw = raw
+		e.lastID = raw
 		return true, nil
 	}
-	due := e.order.Following()
+	expected := e.order.Following()
 	switch e.order.Take(id) {
 	case sequence.Again:
 		return false, nil
 	case sequence.Gap:
-		return false, errors.Wrapf(errEventGap, "event %d where %d is due", id, due)
+		return false, errors.Wrapf(errEventGap, "event %d, expected %d", id, expected)
 	default:
-		e.lastRaw = raw
+		e.lastID = raw
 		return true, nil
 	}
 }
 
-// partial reports whether a part of an event is left over.
-func (e *events) partial() bool { return len(e.rest) > 0 }
+// partial reports whether the stream so far ends inside an event.
+func (e *eventSplitter) partial() bool { return len(e.buffered) > 0 }
 
-// restart forgets the part of an event at which a stream broke.
-func (e *events) restart() { e.rest = nil }
+// discardPartial drops the incomplete event at which a stream broke off.
+func (e *eventSplitter) discardPartial() { e.buffered = nil }
 
 func eventID(ev []byte) (string, bool) {
 	for line := range bytes.Lines(ev) {
--- a/serve/relay/events_test.go
+++ b/serve/relay/events_test.go
@@ -11,15 +11,15 @@
 
 func TestRelay(t *testing.T) { testkit.Suite(t, "relay") }
 
-var _ = Describe("events of a stream", func() {
-	feed := func(e *events, s string) string {
+var _ = Describe("the event splitter", func() {
+	feed := func(e *eventSplitter, s string) string {
 		out, err := e.feed([]byte(s))
 		Expect(err).NotTo(HaveOccurred())
 		return string(out)
 	}
 
-	It("passes on whole events only", func() {
-		e := &events{}
+	It("returns whole events only", func() {
+		e := &eventSplitter{}
 		Expect(feed(e, "id: 1\nda")).To(BeEmpty())
 		Expect(e.partial()).To(BeTrue())
 		Expect(feed(e, "ta: a\n\nid: 2\n")).To(Equal("id: 1\ndata: a\n\n"))
@@ -27,26 +27,26 @@
 		Expect(e.partial()).To(BeFalse())
 	})
 
-	// A piece of a review is missing or comes twice: a stream broke in the middle
-	// of an event, and the server that went on began at another one.
-	It("drops what came before and refuses a gap after a new start", func() {
-		e := &events{}
+	// Guards against an answer with a part missing or repeated: a stream broke off
+	// inside an event and the server that resumed it began at another event.
+	It("drops repeated events and rejects a gap after a resume", func() {
+		e := &eventSplitter{}
 		feed(e, "id: 1\ndata: a\n\nid: 2\ndata: ha")
-		e.restart()
+		e.discardPartial()
 		Expect(feed(e, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n")).To(Equal("id: 2\ndata: b\n\n"))
 		_, err := e.feed([]byte("id: 4\ndata: d\n\n"))
 		Expect(err).To(MatchError(errEventGap))
 	})
 
-	It("bounds an event", func() {
-		e := &events{}
-		_, err := e.feed(make([]byte, maxEvent+1))
+	It("bounds the size of an event", func() {
+		e := &eventSplitter{}
+		_, err := e.feed(make([]byte, maxEventBytes+1))
 		Expect(err).To(MatchError(errEventTooLarge))
 	})
 
-	It("passes events without an id", func() {
-		e := &events{}
+	It("returns events without an id", func() {
+		e := &eventSplitter{}
 		Expect(feed(e, "data: x\n\n")).To(Equal("data: x\n\n"))
-		Expect(e.lastRaw).To(BeEmpty())
+		Expect(e.lastID).To(BeEmpty())
 	})
 })
--- a/serve/relay/health.go
+++ b/serve/relay/health.go
@@ -11,52 +11,53 @@
 	"github.com/auburnmoor/auburnmoor/decide/spread"
 )
 
-// onTracker runs f with the health of the service's servers.
-func (x *exchange) onTracker(f func(*health.Tracker)) {
+// withTracker runs f with the health tracker of the service's servers.
+func (x *exchange) withTracker(f func(*health.Tracker)) {
 	r := x.relay
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(r.pool(x.service.Name).tracker)
 }
 
-// begin notes that an attempt goes to the servers of a plan; settle ends it.
-func (x *exchange) begin(plan spread.Plan) {
-	x.judged, x.pace = nil, health.Run{}
-	x.onTracker(func(t *health.Tracker) {
+// beginTracking starts an attempt in the tracker for all servers of a plan.
+func (x *exchange) beginTracking(plan spread.Plan) {
+	x.recorded, x.pace = nil, health.Run{}
+	x.withTracker(func(t *health.Tracker) {
 		for _, id := range serverIDs(plan) {
 			t.Begin(x.relay.now(), id)
 		}
 	})
 }
 
-// fail counts the attempt against servers.
-func (x *exchange) fail(ids ...string) {
-	x.judge(ids, (*health.Tracker).Failure)
+// recordFailure counts a failed attempt against servers.
+func (x *exchange) recordFailure(ids ...string) {
+	x.recordOnce(ids, (*health.Tracker).Failure)
 }
 
-// fault counts a failure that a server itself reported.
-func (x *exchange) fault(id string) {
-	x.judge([]string{id}, (*health.Tracker).Fault)
+// recordFault counts a failure that a server itself reported.
+func (x *exchange) recordFault(id string) {
+	x.recordOnce([]string{id}, (*health.Tracker).Fault)
 }
 
-func (x *exchange) judge(ids []string, verdict func(*health.Tracker, time.Duration, string)) {
-	x.onTracker(func(t *health.Tracker) {
+// recordOnce calls record for each server that has none in the current attempt.
+func (x *exchange) recordOnce(ids []string, record func(*health.Tracker, time.Duration, string)) {
+	x.withTracker(func(t *health.Tracker) {
 		for _, id := range ids {
-			if slices.Contains(x.judged, id) {
+			if slices.Contains(x.recorded, id) {
 				continue
 			}
-			x.judged = append(x.judged, id)
-			verdict(t, x.relay.now(), id)
+			x.recorded = append(x.recorded, id)
+			record(t, x.relay.now(), id)
 		}
 	})
 }
 
-// settle ends the attempt at the servers that it was not counted against.
-func (x *exchange) settle(plan spread.Plan, answered bool) {
-	x.onTracker(func(t *health.Tracker) {
+// endTracking ends the attempt at the servers without a recorded failure.
+func (x *exchange) endTracking(plan spread.Plan, answered bool) {
+	x.withTracker(func(t *health.Tracker) {
 		for _, id := range serverIDs(plan) {
 			switch {
-			case slices.Contains(x.judged, id):
+			case slices.Contains(x.recorded, id):
 			case answered:
 				t.Success(x.relay.now(), id)
 			default:
@@ -66,9 +67,9 @@
 	})
 }
 
-// observePace judges the pause before the newest event. The engines that write
-// answers to long prompts also read for others, so their pauses say nothing; nor
-// do any while the engines are overloaded.
+// observePace checks the newest pause between events and ejects the server if it is
+// slow. Pauses of engines that answer long prompts don't count, as these also prefill
+// for others, nor do any while the engines are overloaded.
 func (x *exchange) observePace(plan spread.Plan) {
 	if x.route.Kind != route.Stream || x.newestGap == 0 || !spread.Short(x.service.Engine, x.req.PromptTokens) {
 		return
@@ -78,7 +79,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.pool(x.service.Name)
-	if p.meter.Mean() > busyRecent || !p.pace.Observe(&x.pace, x.newestGap, expected) {
+	if p.meter.Mean() > overloadBacklog || !p.pace.Observe(&x.pace, x.newestGap, expected) {
 		return
 	}
 	p.tracker.Slow(r.now(), id)
--- a/serve/relay/hold.go
+++ b/serve/relay/hold.go
@@ -13,90 +13,90 @@
 )
 
 const (
-	// lookAgain is the mean time after which a request that is held back is placed
-	// again: the engines read a part of a deep prompt in some 50 ms. It is drawn
-	// between nearly none and twice as much. Instances that look at the same moment
-	// would all send before they hear of each other, some 4 ms later.
-	lookAgain = 15 * time.Millisecond
-	// maxHeld bounds the deep prompts that one instance holds back. Six instances
-	// with so many have reading for half a minute before them, and no client
-	// waits that long. Requests that wait for a slot do so for a second at most and
-	// are bounded by the instance's connections.
-	maxHeld = 32
+	// recheckInterval is the mean interval at which placing a held request is tried
+	// again; the engines prefill a part of a deep prompt in about 50 ms. Each interval
+	// is drawn between zero and twice the mean, because instances that retry at once
+	// would all place before they hear of each other, about 4 ms later.
+	recheckInterval = 15 * time.Millisecond
+	// maxHeldDeep bounds the deep prompts that one instance holds. Six instances with
+	// as many have half a minute of prefill queued, longer than any client waits.
+	// Requests that wait for a slot do so for a second at most and are bounded by the
+	// instance's connections.
+	maxHeldDeep = 32
 )
 
-// placeInTurn chooses servers for the next attempt. A request that was sent
-// nowhere may be held back until the engines have less to read. The verdict is
-// Hold only if the context ended meanwhile.
-func (x *exchange) placeInTurn(ctx context.Context) (spread.Plan, spread.Verdict) {
+// placeOrHold chooses the servers of the next attempt. A request that was not sent
+// yet may be held until the engines have capacity for it. The verdict is Hold only if
+// the context ended meanwhile.
+func (x *exchange) placeOrHold(ctx context.Context) (spread.Plan, spread.Verdict) {
 	r := x.relay
-	plan, verdict := x.place(x.holdPatience())
+	plan, verdict := x.place(x.maxHoldTime())
 	if verdict != spread.Hold {
 		return plan, verdict
 	}
 	r.held.Add(1)
 	defer r.held.Add(-1)
-	if x.deep() {
+	if x.isDeep() {
 		defer r.heldDeep.Add(-1)
-		if r.heldDeep.Add(1) > maxHeld {
+		if r.heldDeep.Add(1) > maxHeldDeep {
 			return plan, spread.NoRoom
 		}
 	}
 	defer x.joinQueue()()
 	r.count("held_total", "waits_for", plan.Reason.String())
-	x.heldBack(plan)
+	x.logHeld(plan)
 	began := r.now()
 	for verdict == spread.Hold {
-		if x.deep() {
+		if x.isDeep() {
 			r.loads.Hold(x.turn())
 		}
-		if !wait.For(ctx, rand.N(2*lookAgain)) {
+		if !wait.For(ctx, rand.N(2*recheckInterval)) {
 			return plan, verdict
 		}
-		x.waited = r.now() - began
-		x.waitedFor = plan.Reason
-		if x.poisonous() {
-			// Servers crashed with the same request while this one waited.
+		x.heldFor = r.now() - began
+		x.holdReason = plan.Reason
+		if x.quarantined() {
+			// Servers crashed on the same request while this one was held.
 			return plan, spread.NoServer
 		}
-		plan, verdict = x.place(x.holdPatience())
+		plan, verdict = x.place(x.maxHoldTime())
 	}
-	r.scope.Histogram("held_seconds", buckets.Durations).RecordDuration(x.waited)
+	r.scope.Histogram("held_seconds", buckets.Durations).RecordDuration(x.heldFor)
 	return plan, verdict
 }
 
-// holdPatience is how long the request may be held back. An instance that shuts
-// down sends at once.
-func (x *exchange) holdPatience() time.Duration {
+// maxHoldTime is how long the request may be held. It is zero after an attempt that may
+// have reached a server, and while the instance shuts down.
+func (x *exchange) maxHoldTime() time.Duration {
 	if x.state.Sent() > 0 || x.relay.members.Leaving() {
 		return 0
 	}
-	return spread.Patience(x.route.FirstTarget, x.time)
+	return spread.Patience(x.route.FirstTarget, x.timeLimit)
 }
 
-// joinQueue has other instances know that the request waits, until the function
-// that it returns is called.
+// joinQueue makes the held request visible to other instances until the returned
+// function is called.
 func (x *exchange) joinQueue() (leave func()) {
 	l := x.relay.loads
-	if x.deep() {
+	if x.isDeep() {
 		return func() { l.Leave(x.req.ID) }
 	}
 	l.WaitForSlot(1)
 	return func() { l.WaitForSlot(-1) }
 }
 
-// deep reports whether the request's prompt is deep.
-func (x *exchange) deep() bool {
+// isDeep reports whether the request has a deep prompt, as defined by spread.Deep.
+func (x *exchange) isDeep() bool {
 	return x.service.Engine != nil && spread.Deep(x.service.Engine, x.req.PromptTokens, x.answerTokens())
 }
 
-// turn is the request's place among the prompts that are held back.
+// turn is the request's position among the held deep prompts of all instances.
 func (x *exchange) turn() spread.Turn {
 	return spread.TurnOf(x.service.Engine, x.req.ID, x.req.PromptTokens, x.started, x.route.FirstTarget)
 }
 
-// heldBack logs that a request waits and for what.
-func (x *exchange) heldBack(plan spread.Plan) {
+// logHeld logs that a request is held and why.
+func (x *exchange) logHeld(plan spread.Plan) {
 	x.relay.log.Info("held back", zap.String("request", x.req.ID), zap.Int64("prompt", x.req.PromptTokens),
-		zap.Stringer("waits_for", plan.Reason), zap.Duration("backlog", plan.Backlog), zap.Int64("held", x.relay.held.Load()), zap.Duration("left", x.left()))
+		zap.Stringer("waits_for", plan.Reason), zap.Duration("backlog", plan.Backlog), zap.Int64("held", x.relay.held.Load()), zap.Duration("left", x.remaining()))
 }
--- /dev/null
+++ b/serve/relay/load.go
@@ -0,0 +1,28 @@
+package relay
+
+import (
+	"github.com/auburnmoor/auburnmoor/control/loads"
+	"github.com/auburnmoor/auburnmoor/decide/spread"
+)
+
+// placedLoad is the load that an attempt placed on its servers. The prefill part ends
+// with the first event, the rest with the attempt.
+type placedLoad struct {
+	loads *loads.Loads
+	plan  spread.Plan
+	// prefillEnded tells that the first event arrived, or never will.
+	prefillEnded bool
+}
+
+func (p *placedLoad) firstEvent() {
+	if p.prefillEnded {
+		return
+	}
+	p.prefillEnded = true
+	p.loads.FirstEvent(p.plan)
+}
+
+func (p *placedLoad) end() {
+	p.firstEvent()
+	p.loads.End(p.plan)
+}
--- a/serve/relay/log.go
+++ b/serve/relay/log.go
@@ -9,33 +9,33 @@
 	"github.com/auburnmoor/auburnmoor/internal/buckets"
 )
 
-// finished records an answer that is out.
-func (x *exchange) finished(plan spread.Plan) {
+// logAnswered records an answer that was sent to the client.
+func (x *exchange) logAnswered(plan spread.Plan) {
 	x.relay.count("answers_total", "kind", x.route.Kind.String())
-	x.relay.scope.Tagged(map[string]string{"kind": x.route.Kind.String()}).Histogram("first_seconds", buckets.Durations).RecordDuration(x.first)
+	x.relay.scope.Tagged(map[string]string{"kind": x.route.Kind.String()}).Histogram("first_seconds", buckets.Durations).RecordDuration(x.firstLatency)
 	x.log("answered", zap.String("server", plan.Writer().ID), zap.Int("helpers", len(plan.Helpers())),
-		zap.Duration("predicted", plan.FirstEvent), zap.Duration("first", x.first), zap.Duration("longest_gap", x.longestGap), zap.Bool("waiting", plan.Waiting),
+		zap.Duration("predicted", plan.FirstEvent), zap.Duration("first", x.firstLatency), zap.Duration("longest_gap", x.longestGap), zap.Bool("waiting", plan.Waiting),
 		zap.Duration("first_target", x.route.FirstTarget), zap.Duration("gap_target", x.route.GapTarget),
 		zap.Duration("gap_read", x.gapLoad.Unread), zap.Duration("gap_pass", spread.Pass(x.service.Engine, x.gapLoad)))
 }
 
-// placed logs where an attempt goes and what that was decided from.
-func (x *exchange) placed(plan spread.Plan) {
+// logPlaced logs the servers of an attempt and what the choice was based on.
+func (x *exchange) logPlaced(plan spread.Plan) {
 	snap := x.relay.catalog.Servers()
 	x.relay.log.Info("placed", zap.String("request", x.req.ID), zap.String("route", x.route.Name), zap.Uint64("version", x.version),
 		zap.String("customer", x.customer), zap.Int64("prompt", x.req.PromptTokens), zap.String("server", plan.Writer().ID),
 		zap.Strings("helpers", serverIDs(plan)[1:]), zap.Duration("predicted", plan.FirstEvent), zap.Bool("waiting", plan.Waiting),
-		zap.Duration("held", x.waited), zap.Stringer("servers_at", snap.At), zap.Duration("servers_age", x.relay.catalog.Age()), zap.Duration("left", x.left()))
+		zap.Duration("held", x.heldFor), zap.Stringer("servers_at", snap.At), zap.Duration("servers_age", x.relay.catalog.Age()), zap.Duration("left", x.remaining()))
 }
 
 func (x *exchange) log(msg string, fields ...zap.Field) { x.relay.log.Info(msg, x.fields(fields)...) }
 
 func (x *exchange) warn(msg string, fields ...zap.Field) { x.relay.log.Warn(msg, x.fields(fields)...) }
 
-// fields are those of the line that tells how a request ended.
-func (x *exchange) fields(more []zap.Field) []zap.Field {
+// fields returns the fields of a log line on the end of a request, and extra ones.
+func (x *exchange) fields(extra []zap.Field) []zap.Field {
 	return slices.Concat([]zap.Field{
 		zap.String("request", x.req.ID), zap.String("route", x.route.Name), zap.Uint64("version", x.version), zap.Int64("prompt", x.req.PromptTokens),
 		zap.Int("attempts", x.state.Sent()+1), zap.Duration("took", x.relay.now()-x.started),
-	}, more)
+	}, extra)
 }
--- /dev/null
+++ b/serve/relay/quarantine.go
@@ -0,0 +1,125 @@
+package relay
+
+import (
+	"context"
+	"slices"
+
+	"github.com/uber-go/tally/v4"
+	"go.uber.org/zap"
+	"golang.org/x/sync/singleflight"
+
+	"github.com/auburnmoor/auburnmoor/decide/attempt"
+	"github.com/auburnmoor/auburnmoor/decide/backends"
+	"github.com/auburnmoor/auburnmoor/decide/poison"
+	"github.com/auburnmoor/auburnmoor/decide/spread"
+	"github.com/auburnmoor/auburnmoor/internal/wait"
+	"github.com/auburnmoor/auburnmoor/port/backend"
+	"github.com/auburnmoor/auburnmoor/result"
+)
+
+// crashDetector tells crashed servers from broken connections. Both break the
+// attempts in progress; only a server that ended refuses new connections.
+type crashDetector struct {
+	refusesConn func(ctx context.Context, addr string) bool
+	count       tally.Counter
+	checks      singleflight.Group
+}
+
+// confirmCrash reports whether the server of an attempt that just broke has ended.
+// Attempts that break at the same server at once share one check.
+func (c *crashDetector) confirmCrash(s backends.Server) bool {
+	ended, _, _ := c.checks.Do(s.ID, func() (any, error) {
+		ended := c.refusesConn(context.Background(), s.Addr)
+		if ended {
+			c.count.Inc(1)
+		}
+		return ended, nil
+	})
+	return ended.(bool)
+}
+
+// identity returns the request's key in the quarantine, computed on first use.
+func (x *exchange) identity() poison.Key {
+	if x.key == nil {
+		k := x.req.key(x.customer)
+		x.key = &k
+	}
+	return *x.key
+}
+
+// checkQuarantine reports whether the request may be sent. A request that is known to
+// crash servers is refused before it takes down another one. A suspect of a recent
+// crash first waits for the reports of other instances.
+func (x *exchange) checkQuarantine(ctx context.Context) bool {
+	q := x.relay.quarantine
+	for !q.Empty() {
+		ruling := q.Judge(x.identity(), x.relay.readyCount(x.service.Name))
+		x.suspect = ruling.Verdict == poison.Suspect
+		if ruling.Verdict == poison.Poisonous {
+			x.relay.log.Warn("request quarantined, servers crashed while running it", zap.String("request", x.req.ID), zap.Stringer("identity", x.identity()),
+				zap.Int("crashes", ruling.Crashes), zap.Duration("retry_after", ruling.RetryAfter))
+			x.endWithError(result.New(result.Quarantined, "%d servers that ran this request crashed, one after the other", ruling.Crashes).After(ruling.RetryAfter))
+			return false
+		}
+		if ruling.Wait == 0 {
+			return true
+		}
+		if !wait.For(ctx, ruling.Wait) {
+			x.endInterrupted(ctx, backend.ErrNotSent)
+			return false
+		}
+	}
+	return true
+}
+
+// quarantined reports whether the request is by now known to crash servers.
+func (x *exchange) quarantined() bool {
+	q := x.relay.quarantine
+	return !q.Empty() && q.Judge(x.identity(), x.relay.readyCount(x.service.Name)).Verdict == poison.Poisonous
+}
+
+// recordCrash reports to the quarantine that the server of a broken attempt crashed
+// while it ran the request. A server that is leaving ends with whatever it still
+// runs, which is not the request's fault.
+func (x *exchange) recordCrash(plan spread.Plan, o attempt.Outcome) {
+	x.crashed = false
+	if o != attempt.Broken {
+		return
+	}
+	ended := x.relay.now()
+	s, listed := x.relay.catalog.Servers().Get(plan.Writer().ID)
+	if !listed || s.Leaving || !x.relay.crashes.confirmCrash(plan.Writer()) {
+		return
+	}
+	x.crashed, x.anyCrash = true, true
+	c := poison.Crash{Server: poison.ServerHash(s.ID), Began: x.sentAt, Ended: ended}
+	x.relay.quarantine.Crashed(x.identity(), c, s.ID, x.relay.readyCount(x.service.Name))
+}
+
+// readyCount counts the servers of a service that may get requests.
+func (r *Relay) readyCount(service string) int { return len(r.catalog.Servers().Ready(service)) }
+
+// isolateSuspect restricts a suspect request to the servers with the fewest calls: if
+// it crashes one, few other requests are lost and the evidence is clearer. Deep prompts
+// are exempt, as they may need several engines.
+func (x *exchange) isolateSuspect(servers []backends.Server, load func(string) spread.Load) []backends.Server {
+	if !x.suspect || x.isDeep() || len(servers) == 0 {
+		return servers
+	}
+	minCalls := load(servers[0].ID).Calls
+	for _, s := range servers {
+		minCalls = min(minCalls, load(s.ID).Calls)
+	}
+	return slices.DeleteFunc(slices.Clone(servers), func(s backends.Server) bool { return load(s.ID).Calls > minCalls })
+}
+
+// reportToQuarantine reports how the request ended.
+func (x *exchange) reportToQuarantine() {
+	q := x.relay.quarantine
+	switch {
+	case x.answered && !q.Empty():
+		q.Answered(x.identity())
+	case x.anyCrash:
+		q.Failed(x.identity())
+	}
+}
--- a/serve/relay/relay.go
+++ b/serve/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay passes requests on to backend servers and their answers back.
-// It finds the route, places the request, and follows decide/attempt when an
-// attempt fails.
+// Package relay forwards requests to backend servers and their answers to the
+// clients. It finds the route, places the request, and lets decide/attempt decide
+// what follows when an attempt fails.
 package relay
 
 import (
@@ -37,23 +37,22 @@
 
 func init() { auburnmoor.Register(new(Relay)) }
 
-// Defaults of the settings.
+// Defaults of the settings, and fixed bounds.
 const (
 	defaultRetryRatio  = 0.2
 	defaultRetryExtra  = 20
 	defaultRetryWindow = 10 * time.Second
-	// ownShare of the fleet's fixed number of retries is used, because the
-	// members that share it are not known exactly.
-	ownShare = 0.8
+	// retrySafetyFactor scales down this instance's part of RetryExtra, because the
+	// number of members that share it is not known exactly.
+	retrySafetyFactor = 0.8
 	// maxEjected is the share of a service's servers that may be out of rotation.
 	maxEjected = 0.34
 )
 
 // Relay is the module "serve.relay".
 type Relay struct {
-	// RetryRatio and RetryExtra bound the attempts beyond the first of each
-	// request, over all instances, in each RetryWindow: a share of the requests
-	// for a service, and a number.
+	// RetryRatio and RetryExtra bound the retries of all instances together in
+	// each RetryWindow: RetryRatio for each request of a service, plus RetryExtra.
 	RetryRatio  float64           `toml:"retry_ratio" validate:"min=0,max=1"`
 	RetryExtra  float64           `toml:"retry_extra" validate:"min=0"`
 	RetryWindow settings.Duration `toml:"retry_window"`
@@ -67,29 +66,30 @@
 	members          *members.Members
 	quarantine       *quarantine.Quarantine
 	client           backend.Client
-	crashes          *crashes
+	crashes          *crashDetector
 
-	// active counts the requests that are being served, held those of them that
-	// are held back, and heldDeep the deep ones of these.
+	// active counts the requests in progress, held those of them that are held until
+	// the engines have capacity, and heldDeep the deep prompts (spread.Deep) of these.
 	active, held, heldDeep atomic.Int64
 	mu                     sync.Mutex
 	rand                   *rand.Rand
 	pools                  map[string]*pool
 }
 
-// pool is what this instance learned of a service's servers from its requests.
+// pool is what this instance observed of one service's servers.
 type pool struct {
 	tracker *health.Tracker
 	retries *retry.Window
-	known   map[string]backends.Life
-	// pace is what pauses between events usually are.
+	// lives maps the listed servers to their life, which changes with a restart.
+	lives map[string]backends.Life
+	// pace is the usual pause between events of a stream.
 	pace health.Pace
-	// meter is the reading before the servers over the last seconds.
+	// meter averages the prefill backlog of the servers over the last seconds.
 	meter spread.Meter
-	// suspended are servers that just turned work away or could not be reached,
-	// until when.
+	// suspended maps servers that refused work or could not be reached to the time
+	// until which they are skipped.
 	suspended map[string]time.Duration
-	// share is the last share of the servers that was worked out.
+	// share caches the servers of this instance's cell.
 	share cellShare
 }
 
@@ -127,48 +127,48 @@
 	}
 	r.log, r.now, r.scope, r.client, r.dataCentre = c.Log, c.Now, c.Scope, src.Backends(), c.Self.DataCentre
 	r.name = c.Self.Name
-	r.crashes = &crashes{refuses: r.client.Refuses, count: r.scope.Counter("server_crashes_total")}
+	r.crashes = &crashDetector{refusesConn: r.client.Refuses, count: r.scope.Counter("server_crashes_total")}
 	r.rand, r.pools = rand.New(rand.NewPCG(c.Seed, 3)), map[string]*pool{}
 	return nil
 }
 
-// Active counts the requests that are being served.
+// Active counts the requests in progress.
 func (r *Relay) Active() int64 { return r.active.Load() }
 
-// Serve answers one request. It returns when the answer is out or the client is
+// Serve handles one request. It returns when the answer is sent or the client is
 // gone.
 func (r *Relay) Serve(ctx context.Context, req *Request, sink Sink) {
 	r.active.Add(1)
 	defer r.active.Add(-1)
-	x, refusal := r.accept(req, sink)
+	x, refusal := r.newExchange(req, sink)
 	if refusal != nil {
 		r.Refuse(req, sink, refusal)
 		return
 	}
-	ctx, cancel := context.WithDeadline(ctx, req.Arrived.Add(x.time))
+	ctx, cancel := context.WithDeadline(ctx, req.Arrived.Add(x.timeLimit))
 	defer cancel()
 	x.run(ctx)
 }
 
-// Refuse gives a request its final answer, that it does not run here, and logs it.
-func (r *Relay) Refuse(req *Request, sink Sink, why *result.Error) {
-	r.refused(req, why)
-	sink.Refuse(why)
+// Refuse answers a request with an error of this instance, and logs the refusal.
+func (r *Relay) Refuse(req *Request, sink Sink, refusal *result.Error) {
+	r.recordRefusal(req, refusal)
+	sink.Refuse(refusal)
 }
 
-// pauseWithoutConfig is when a client that was refused for want of a
-// configuration may come back: about what a start takes until the store answers.
-const pauseWithoutConfig = 500 * time.Millisecond
+// retryAfterNoConfig is about the time from the start of an instance until the
+// store answers.
+const retryAfterNoConfig = 500 * time.Millisecond
 
-// accept checks a request against the configuration in force.
-func (r *Relay) accept(req *Request, sink Sink) (*exchange, *result.Error) {
+// newExchange checks a request against the configuration in force.
+func (r *Relay) newExchange(req *Request, sink Sink) (*exchange, *result.Error) {
 	table := r.catalog.Table()
 	if table == nil || r.catalog.Servers() == nil {
-		return nil, result.New(result.NoConfiguration, "no configuration known yet").After(pauseWithoutConfig)
+		return nil, result.New(result.NoConfiguration, "no configuration received yet").After(retryAfterNoConfig)
 	}
-	rt, customer, refusal := allowed(table, req)
+	rt, customer, refusal := authorize(table, req)
 	if refusal != nil {
-		return nil, r.unlessOld(refusal)
+		return nil, r.retryableIfStale(refusal)
 	}
 	name, rank := "", rt.Rank
 	if customer != nil {
@@ -177,19 +177,19 @@
 			rank = customer.Rank
 		}
 	}
-	service, ok := table.Service(r.pick(rt))
+	service, ok := table.Service(r.pickService(rt))
 	if !ok {
-		return nil, result.New(result.NoBackend, "the route's service is not configured").After(pauseNoBackend)
+		return nil, result.New(result.NoBackend, "the route's service is not configured").After(retryAfterNoBackend)
 	}
 	return &exchange{
 		relay: r, req: req, sink: sink, route: rt, service: service, customer: name, rank: rank, version: table.Version,
-		state: attempt.New(rt), time: timeLeft(rt, req),
+		state: attempt.New(rt), timeLimit: effectiveTimeLimit(rt, req),
 	}, nil
 }
 
-// allowed finds the route and the customer of a request, or says why a configuration does
-// not allow it. Routes that are public have no customer.
-func allowed(table *route.Table, req *Request) (*route.Route, *route.Customer, *result.Error) {
+// authorize finds the route and the customer of a request, or returns why the
+// configuration does not allow the request. Public routes need no customer.
+func authorize(table *route.Table, req *Request) (*route.Route, *route.Customer, *result.Error) {
 	rt, ok := table.Lookup(req.Host, req.Path)
 	if !ok {
 		return nil, nil, result.New(result.NotFound, "no route matches")
@@ -207,35 +207,35 @@
 	return rt, customer, nil
 }
 
-// pauseUnconfirmed is when a caller may come back whom an instance with an old
-// configuration refused: about what it takes to hear of the present one.
-const pauseUnconfirmed = time.Second
+// retryAfterUnconfirmed is about the time that an instance with an outdated
+// configuration needs to receive the current one.
+const retryAfterUnconfirmed = time.Second
 
-// unlessOld is a refusal for good while the configuration is confirmed. One that may have
-// been replaced since refuses for now only.
-func (r *Relay) unlessOld(refusal *result.Error) *result.Error {
+// retryableIfStale returns the refusal itself while the configuration is confirmed to
+// be current, and otherwise a temporary refusal, as a newer one may allow the request.
+func (r *Relay) retryableIfStale(refusal *result.Error) *result.Error {
 	if r.catalog.ConfigState() == knowledge.Confirmed {
 		return refusal
 	}
-	return result.New(result.Unconfirmed, "%s, by a configuration that may be old", refusal.Message).After(pauseUnconfirmed)
+	return result.New(result.Unconfirmed, "%s, by a configuration that may be outdated", refusal.Message).After(retryAfterUnconfirmed)
 }
 
-func timeLeft(rt *route.Route, req *Request) time.Duration {
+func effectiveTimeLimit(rt *route.Route, req *Request) time.Duration {
 	if req.Deadline > 0 && (rt.Timeout == 0 || req.Deadline < rt.Timeout) {
 		return req.Deadline
 	}
 	return rt.Timeout
 }
 
-func (r *Relay) pick(rt *route.Route) string {
+func (r *Relay) pickService(rt *route.Route) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return rt.Pick(r.rand)
 }
 
-func (r *Relay) refused(req *Request, why *result.Error, more ...zap.Field) {
-	r.count("refusals_total", "code", why.Code.String())
-	r.log.Warn("refused", append(more, zap.String("request", req.ID), zap.Uint32("code", uint32(why.Code)), zap.String("why", why.Message),
+func (r *Relay) recordRefusal(req *Request, refusal *result.Error, extra ...zap.Field) {
+	r.count("refusals_total", "code", refusal.Code.String())
+	r.log.Warn("refused", append(extra, zap.String("request", req.ID), zap.Uint32("code", uint32(refusal.Code)), zap.String("why", refusal.Message),
 		zap.Int64("prompt", req.PromptTokens), zap.String("host", req.Host), zap.String("path", req.Path), zap.Uint64("version", r.version()),
 		zap.Duration("config_age", r.catalog.Age()))...)
 }
@@ -251,12 +251,12 @@
 	r.scope.Tagged(map[string]string{tag: value}).Counter(name).Inc(1)
 }
 
-// pool returns what is known of a service; r.mu is held.
+// pool returns the pool of a service and creates it if needed; r.mu must be held.
 func (r *Relay) pool(service string) *pool {
 	p := r.pools[service]
 	if p == nil {
 		p = &pool{
-			tracker: health.NewTracker(maxEjected, r.rand), known: map[string]backends.Life{}, suspended: map[string]time.Duration{},
+			tracker: health.NewTracker(maxEjected, r.rand), lives: map[string]backends.Life{}, suspended: map[string]time.Duration{},
 			retries: retry.NewWindow(r.RetryWindow.Std(), r.RetryRatio, 0),
 		}
 		r.pools[service] = p
@@ -264,21 +264,21 @@
 	return p
 }
 
-// usable returns the servers of a service on which this instance places: the ready ones
-// of its cell's share that are not out of rotation, and the number of all ready ones of
-// the share. A cell that has none left, or not the memory for a prompt, places on the
-// servers of all cells (whole).
-func (r *Relay) usable(service *route.Service, whole bool) (out []backends.Server, fleet int) {
+// candidates returns the servers of a service that this instance may place requests
+// on, and the number of ready servers they were selected from. These are the ready
+// servers of the instance's cell, or of all cells with allCells or if the cell has
+// none in rotation. If no server at all is in rotation, every ready one is a candidate.
+func (r *Relay) candidates(service *route.Service, allCells bool) (out []backends.Server, total int) {
 	snap := r.catalog.Servers()
 	ready := snap.Ready(service.Name)
 	c := r.loads.Cell()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.pool(service.Name)
-	p.follow(ready)
+	p.syncServers(ready)
 	share := ready
-	if !whole {
-		share = p.shareOf(snap, c, ready, service.Engine == nil)
+	if !allCells {
+		share = p.cellServers(snap, c, ready, service.Engine == nil)
 	}
 	if out = r.inRotation(p, share); len(out) == 0 {
 		share = ready
@@ -290,7 +290,7 @@
 	return r.loads.Present(out), len(share)
 }
 
-// inRotation returns those of servers that are not passed over; r.mu is held.
+// inRotation returns the servers neither ejected nor suspended; r.mu must be held.
 func (r *Relay) inRotation(p *pool, servers []backends.Server) (out []backends.Server) {
 	for _, s := range servers {
 		if p.tracker.Usable(r.now(), s.ID) && r.now() >= p.suspended[s.ID] {
@@ -300,29 +300,28 @@
 	return out
 }
 
-// cellShare is the part of a list of servers that belongs to a cell.
+// cellShare is the part of a server list that belongs to one cell.
 type cellShare struct {
 	snap         *backends.Snapshot
 	index, count int
 	servers      []backends.Server
 }
 
-// shareOf returns the cell's share of the ready servers. It is worked out once for each
-// list: sorting 172 engines takes as long as placing a request.
-func (p *pool) shareOf(snap *backends.Snapshot, c cell.Cell, ready []backends.Server, plain bool) []backends.Server {
+// cellServers returns the cell's share of the ready servers. The share is cached for
+// each list, because sorting 172 engines takes as long as placing a request.
+func (p *pool) cellServers(snap *backends.Snapshot, c cell.Cell, ready []backends.Server, plain bool) []backends.Server {
 	if p.share.snap != snap || p.share.index != c.Index || p.share.count != c.Count {
 		p.share = cellShare{snap, c.Index, c.Count, c.Share(ready, plain)}
 	}
 	return p.share.servers
 }
 
-// follow makes the tracker forget servers that left, and what it learned of a former
-// life of one: a server that started again would stay out of rotation for failures
-// that ended with its crash.
-func (p *pool) follow(ready []backends.Server) {
-	here := make(map[string]backends.Life, len(ready))
+// syncServers drops the health of servers that left the list or restarted. Otherwise a
+// restarted server would stay out of rotation for failures before its crash.
+func (p *pool) syncServers(ready []backends.Server) {
+	current := make(map[string]backends.Life, len(ready))
 	for _, s := range ready {
-		life, known := p.known[s.ID]
+		life, known := p.lives[s.ID]
 		if known && !life.Same(s.Life) {
 			p.forget(s.ID)
 			known = false
@@ -330,14 +329,14 @@
 		if !known {
 			p.tracker.Add(s.ID)
 		}
-		here[s.ID] = s.Life
+		current[s.ID] = s.Life
 	}
-	for id := range p.known {
-		if _, ready := here[id]; !ready {
+	for id := range p.lives {
+		if _, ready := current[id]; !ready {
 			p.forget(id)
 		}
 	}
-	p.known = here
+	p.lives = current
 }
 
 func (p *pool) forget(id string) {
@@ -345,19 +344,19 @@
 	delete(p.suspended, id)
 }
 
-func (r *Relay) arrived(service string) {
+func (r *Relay) recordRequest(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.pool(service).retries.Request(r.now())
 }
 
-// mayRetry spends one retry of this instance's part of the fleet's budget.
-func (r *Relay) mayRetry(service string) bool {
+// takeRetry spends one retry of this instance's part of the shared budget, if any.
+func (r *Relay) takeRetry(service string) bool {
 	members := max(1, len(r.members.View().Alive))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.pool(service).retries
-	w.SetExtra(ownShare * r.RetryExtra / float64(members))
+	w.SetExtra(retrySafetyFactor * r.RetryExtra / float64(members))
 	if w.Take(r.now()) {
 		return true
 	}
@@ -365,24 +364,24 @@
 	return false
 }
 
-// observe takes the present reading before the servers of a service.
-func (r *Relay) observe(service string, servers []backends.Server) {
+// observeBacklog records the present prefill backlog of a service's servers.
+func (r *Relay) observeBacklog(service string, servers []backends.Server) {
 	backlog := r.loads.Backlog(servers)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.pool(service).meter.Observe(r.now(), backlog)
 }
 
-// recentOf returns the mean reading of the last seconds as of the last placing.
-func (r *Relay) recentOf(service string) time.Duration {
+// meanBacklog returns the mean backlog of the last seconds, as of the last placement.
+func (r *Relay) meanBacklog(service string) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.pool(service).meter.Mean()
 }
 
-// suspend passes over a server for a while. A server that leaves refuses to help
-// before the store tells that it leaves; without the pause every prompt of the
-// next second is read apart with it, and turned away.
+// suspend skips a server for a while. A server that shuts down refuses to help with
+// prefill before the store lists it as leaving; without the pause every long prompt
+// of the next second would be sent to it and refused.
 func (r *Relay) suspend(service, id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/serve/relay/request.go
+++ b/serve/relay/request.go
@@ -9,17 +9,17 @@
 	"github.com/auburnmoor/auburnmoor/result"
 )
 
-// Request is one client attempt.
+// Request is one attempt of a client.
 type Request struct {
-	// ID is the client's own, different for each of its attempts.
+	// ID is chosen by the client and differs between its attempts.
 	ID     string
 	Method string
 	Host   string
-	// Target is the path and query exactly as sent; Path is its path.
+	// Target is the path and query exactly as sent, Path the path alone.
 	Target, Path string
-	// Header holds the headers to pass on.
+	// Header holds the headers to forward.
 	Header http.Header
-	// HeaderBytes is the size of all headers as they came.
+	// HeaderBytes is the size of all headers as received.
 	HeaderBytes int
 	Body        []byte
 	// Key is the bearer key, empty if none was sent.
@@ -28,31 +28,31 @@
 	Deadline time.Duration
 	// Arrived is when the request's headers were read.
 	Arrived time.Time
-	// PromptTokens and AnswerTokens are the length of the prompt and the most
-	// tokens of the answer; zero for requests without a prompt.
+	// PromptTokens is the length of the prompt and AnswerTokens the maximum length of
+	// the answer; both are zero for requests without a prompt.
 	PromptTokens, AnswerTokens int64
-	// ResumeAfter asks to continue a stream after the event of this id.
+	// ResumeAfter is the id of the event after which a stream is to be resumed.
 	ResumeAfter string
 }
 
-// key identifies the request among those of a customer.
+// key returns the identity under which crashes of the request are counted.
 func (r *Request) key(customer string) poison.Key {
 	return poison.Identity{Customer: customer, Method: r.Method, Host: r.Host, Target: r.Target, Body: r.Body}.Key()
 }
 
-// Sink takes the answer to the client. Exactly one of Refuse, Whole, or Begin
+// Sink sends the answer to the client. Exactly one of Refuse, Whole, or Begin
 // followed by End or Abort is called.
 type Sink interface {
-	// Refuse sends a final answer of this instance's own.
+	// Refuse sends an error of this instance as the final answer.
 	Refuse(*result.Error)
-	// Whole sends a complete answer.
+	// Whole sends a complete answer that is not a stream.
 	Whole(h backend.Head, body []byte)
 	// Begin sends the head of a stream.
 	Begin(h backend.Head)
-	// Write sends events at once; it fails when the client is gone.
+	// Write sends events without delay; it fails when the client is gone.
 	Write(events []byte) error
 	// End completes the stream.
 	End()
-	// Abort breaks the connection off, so that the stream does not look complete.
+	// Abort closes the connection, so that the stream does not look complete.
 	Abort()
 }
--- a/serve/relay/reserve.go
+++ b/serve/relay/reserve.go
@@ -15,20 +15,20 @@
 	"github.com/auburnmoor/auburnmoor/port/backend"
 )
 
-// Times of reservations. An order whose answer is lost may be carried out
-// seconds later, after the release, when nobody is left to end it. Memory is
-// therefore reserved for a short time and renewed: what is reserved late goes
-// by itself before it counts as lost.
+// Times of reservations. An engine may carry out a reservation call seconds after its
+// reply was lost, and after the release, when no caller is left to end it. Memory is
+// therefore reserved for a short time and renewed: a late reservation expires before
+// its memory counts as leaked.
 const (
-	holdFor    = 1900 * time.Millisecond
-	renewEvery = 500 * time.Millisecond
-	// orderTimeout bounds one order; an engine answers in a few milliseconds.
-	orderTimeout = 300 * time.Millisecond
-	// releaseTries are made before the reservation is left to expire.
-	releaseTries = 2
+	reservationTTL = 1900 * time.Millisecond
+	renewInterval  = 500 * time.Millisecond
+	// reservationTimeout bounds one call; an engine answers in a few milliseconds.
+	reservationTimeout = 300 * time.Millisecond
+	// releaseAttempts are made before the reservation is left to expire.
+	releaseAttempts = 2
 )
 
-// reservations are the memory that one attempt holds at other engines.
+// reservations are the memory that one attempt holds at its helpers.
 type reservations struct {
 	relay *Relay
 	all   []backend.Reservation
@@ -36,7 +36,7 @@
 	done  chan struct{}
 }
 
-// ticket returns the reservation at a server, or "".
+// ticket returns the ticket of the reservation at a server, or "".
 func (r *reservations) ticket(server string) string {
 	for _, v := range r.all {
 		if v.Server == server {
@@ -46,14 +46,14 @@
 	return ""
 }
 
-// reserve asks all holders of a plan for memory at once. It fails unless all
-// grant it; then nothing stays reserved.
+// reserve reserves the memory of all parts of a plan in parallel. If any server does
+// not grant its part, everything is released and an error returned.
 func (x *exchange) reserve(ctx context.Context, plan spread.Plan) (*reservations, error) {
 	r := &reservations{relay: x.relay}
 	for i, p := range plan.Parts {
 		if p.Reserve > 0 {
 			r.all = append(r.all, backend.Reservation{
-				Server: p.Server.ID, Life: p.Server.Life, Addr: p.Server.Addr, Tokens: p.Reserve, Hold: holdFor,
+				Server: p.Server.ID, Life: p.Server.Life, Addr: p.Server.Addr, Tokens: p.Reserve, Hold: reservationTTL,
 				Ticket: x.req.ID + "-" + strconv.Itoa(len(x.avoid)) + "-" + strconv.Itoa(i),
 			})
 		}
@@ -61,21 +61,21 @@
 	if len(r.all) == 0 {
 		return r, nil
 	}
-	if refused := r.ask(ctx); len(refused) > 0 {
+	if refused := r.reserveAll(ctx); len(refused) > 0 {
 		x.avoid = append(x.avoid, refused...)
-		r.giveBack()
-		return nil, errors.Mark(errors.Newf("memory for the prompt is not granted by %v", refused), backend.ErrNotSent)
+		r.releaseAll()
+		return nil, errors.Mark(errors.Newf("memory for the prompt was not granted by %v", refused), backend.ErrNotSent)
 	}
-	renew, stop := context.WithCancel(context.Background())
+	renewCtx, stop := context.WithCancel(context.Background())
 	r.stop, r.done = stop, make(chan struct{})
-	go r.renew(renew)
+	go r.renew(renewCtx)
 	return r, nil
 }
 
-// ask makes or renews all reservations and returns the servers that did not
+// reserveAll makes or renews all reservations and returns the servers that did not
 // grant theirs.
-func (r *reservations) ask(ctx context.Context) (refused []string) {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+func (r *reservations) reserveAll(ctx context.Context) (refused []string) {
+	ctx, cancel := context.WithTimeout(ctx, reservationTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -99,10 +99,10 @@
 
 func (r *reservations) renew(ctx context.Context) {
 	defer close(r.done)
-	wait.Every(ctx, renewEvery, func() { r.ask(ctx) })
+	wait.Every(ctx, renewInterval, func() { r.reserveAll(ctx) })
 }
 
-// release ends the reservations without waiting for the engines' answers.
+// release stops the renewals and releases the memory in the background.
 func (r *reservations) release() {
 	if r.stop == nil {
 		return
@@ -110,25 +110,25 @@
 	r.stop()
 	go func() {
 		<-r.done
-		r.giveBack()
+		r.releaseAll()
 	}()
 }
 
-// giveBack also releases what may have been granted without an answer.
-func (r *reservations) giveBack() {
+// releaseAll also releases reservations that were granted but whose reply was lost.
+func (r *reservations) releaseAll() {
 	for _, v := range r.all {
 		go func() {
 			var err error
-			for range releaseTries {
-				ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
+			for range releaseAttempts {
+				ctx, cancel := context.WithTimeout(context.Background(), reservationTimeout)
 				err = r.relay.client.Release(ctx, v)
 				cancel()
 				if err == nil {
 					return
 				}
 			}
-			r.relay.log.Info("release got no answer, the reservation expires by itself", zap.String("server", v.Server),
-				zap.String("ticket", v.Ticket), zap.Duration("within", holdFor), eventlog.Error(err))
+			r.relay.log.Info("release not acknowledged, reservation left to expire", zap.String("server", v.Server),
+				zap.String("ticket", v.Ticket), zap.Duration("within", reservationTTL), eventlog.Error(err))
 		}()
 	}
 }
--- /dev/null
+++ b/serve/relay/timeout.go
@@ -0,0 +1,65 @@
+package relay
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/auburnmoor/auburnmoor/decide/attempt"
+	"github.com/auburnmoor/auburnmoor/decide/route"
+	"github.com/auburnmoor/auburnmoor/decide/spread"
+)
+
+// attemptTimeout is how long an attempt waits for its answer, or for the first event
+// of a stream. The last attempt waits as long as the client does: ending it sooner
+// could only lose an answer.
+func (x *exchange) attemptTimeout(plan spread.Plan) time.Duration {
+	if x.state.Last() || !x.route.Repeatable() {
+		return x.remaining() + deadlineMargin
+	}
+	if x.route.Kind != route.Stream {
+		return time.Duration(wholeAnswerFactor * float64(x.route.FirstTarget))
+	}
+	d := max(minFirstEventTimeout, time.Duration(firstEventFactor*float64(x.route.FirstTarget))) + 2*plan.FirstEvent
+	if plan.Waiting {
+		d += slotWaitTimeout
+	}
+	return d
+}
+
+// overloadBacklog is the mean prefill backlog of the last seconds above which silence
+// does not indicate a fault.
+const overloadBacklog = 100 * time.Millisecond
+
+// watchSilence calls onSilence when nothing comes from the servers of a plan within
+// the timeout of the attempt, which is extended while the engines are overloaded.
+func (x *exchange) watchSilence(plan spread.Plan, onSilence func()) *time.Timer {
+	var t *time.Timer
+	// The timer may fire before t is set.
+	armed := make(chan struct{})
+	t = time.AfterFunc(x.attemptTimeout(plan), func() {
+		<-armed
+		silent := x.relay.now() - time.Duration(x.lastHeard.Load())
+		if attempt.WaitOn(silent, x.overloaded(plan), x.route.FirstTarget, x.route.GapTarget) {
+			x.relay.log.Info("attempt extended, servers are overloaded", zap.String("request", x.req.ID), zap.String("server", plan.Writer().ID),
+				zap.Duration("silent", silent), zap.Duration("recent", x.relay.meanBacklog(x.service.Name)))
+			t.Reset(attempt.ExtendBy)
+			return
+		}
+		onSilence()
+	})
+	close(armed)
+	return t
+}
+
+// overloaded reports whether the servers of a plan have more work than they can run at
+// once, so that a late answer does not indicate a fault.
+func (x *exchange) overloaded(plan spread.Plan) bool {
+	if x.service.Engine == nil {
+		return false
+	}
+	if x.relay.meanBacklog(x.service.Name) > overloadBacklog {
+		return true
+	}
+	return x.relay.loads.Of(plan.Writer().ID).Calls > int64(x.service.Engine.Slots)
+}
