--- a/ring/ring.go
+++ b/ring/ring.go
@@ -1,8 +1,8 @@
-// Package ring provides the bounded queues that join duties.
+// Package ring provides bounded queues between goroutines.
 //
-// A ring never blocks its producer: Offer fails when the ring is full, and the
-// producer refuses its work early. That keeps a slow duty from stalling a
-// caller without a bound.
+// A ring never blocks its producer: Offer fails when the ring is full, so the
+// producer can shed load early. A slow consumer thus cannot stall callers
+// indefinitely.
 package ring
 
 import (
@@ -34,7 +34,7 @@
 	return &Ring[T]{name: name, ch: make(chan T, size)}
 }
 
-// Offer adds v and reports whether there was room.
+// Offer appends v, or reports false if the ring is full.
 func (r *Ring[T]) Offer(v T) bool {
 	r.offered.Add(1)
 	select {
@@ -56,7 +56,7 @@
 	}
 }
 
-// Take waits for the next item until ctx ends.
+// Take waits for the next item; it reports false when ctx ends first.
 func (r *Ring[T]) Take(ctx context.Context) (T, bool) {
 	select {
 	case v := <-r.ch:
@@ -67,7 +67,7 @@
 	}
 }
 
-// C exposes the receiving side for a select with timers.
+// C returns the receiving side, for use in a select.
 func (r *Ring[T]) C() <-chan T { return r.ch }
 
 // Stats returns the ring's counters.
--- a/ring/ring_test.go
+++ b/ring/ring_test.go
@@ -14,7 +14,7 @@
 func TestRing(t *testing.T) { testkit.Suite(t, "ring") }
 
 var _ = Describe("a ring", func() {
-	It("keeps order, refuses when full and counts", func() {
+	It("is first in, first out, rejects items when full and counts them", func() {
 		r := ring.New[int]("r", 2)
 		Expect(r.Offer(1)).To(BeTrue())
 		Expect(r.Offer(2)).To(BeTrue())
@@ -25,7 +25,7 @@
 		Expect(r.Stats()).To(Equal(ring.Stats{Name: "r", Size: 2, Depth: 1, Peak: 2, Offered: 3, Refusals: 1}))
 	})
 
-	It("ends a wait with its context", func() {
+	It("stops waiting when the context ends", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		_, ok := ring.New[int]("r", 1).Take(ctx)
