--- a/result/result.go
+++ b/result/result.go
@@ -1,6 +1,6 @@
 // Package result defines the numbered result codes that callers see and the
-// error type that carries them. docs/RESULT-CODES.md is generated from Table
-// and a test holds the two together.
+// error type that carries them. A test keeps docs/RESULT-CODES.md consistent
+// with Table.
 package result
 
 import (
@@ -11,12 +11,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Code is a stable number; a number is never given a second meaning.
+// Code is a stable result number. Numbers are never reused for another meaning.
 type Code uint32
 
-// Codes below 2000 are the caller's, 2000 to 2999 are refusals of work that
-// did not run, 3000 to 3999 are failures after work may have started, and 4000
-// to 4999 concern configuration.
+// Codes from 1000 are errors of the caller, from 2000 refusals of requests that did
+// not run, from 3000 failures of requests that may have run, and from 4000 errors of
+// configuration changes.
 const (
 	OK                 Code = 0
 	BadRequest         Code = 1001
@@ -109,7 +109,7 @@
 	return m
 }()
 
-// Lookup returns the table entry of c; an unlisted code reads as Internal.
+// Lookup returns the table entry of c, or that of Internal for an unknown code.
 func Lookup(c Code) Entry {
 	if e, ok := byCode[c]; ok {
 		return e
@@ -120,8 +120,8 @@
 // String returns the stable name of the code.
 func (c Code) String() string { return Lookup(c).Name }
 
-// Error is a failure with a code. NotRun is a promise to the caller: no byte
-// of the request can have reached a backend server.
+// Error is a failure with a code. NotRun promises the caller that the request did not
+// run and will not run later.
 type Error struct {
 	Code       Code
 	Message    string
@@ -139,14 +139,14 @@
 	return &Error{Code: c, Message: fmt.Sprintf(format, args...), NotRun: Lookup(c).NotRun}
 }
 
-// After returns a copy of e that tells the caller when to come back.
+// After returns a copy of e that tells the caller when to retry.
 func (e *Error) After(d time.Duration) *Error {
 	out := *e
 	out.RetryAfter = d
 	return &out
 }
 
-// From finds the coded error in err's chain, or wraps err as Internal.
+// From returns the first Error in err's chain, or an Internal one with err's message.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -155,7 +155,7 @@
 	return &Error{Code: Internal, Message: err.Error()}
 }
 
-// DocLine renders an entry as a line of docs/RESULT-CODES.md.
+// DocLine renders an entry as a table row of docs/RESULT-CODES.md.
 func DocLine(e Entry) string {
 	notRun := "no"
 	if e.NotRun {
--- a/result/result_test.go
+++ b/result/result_test.go
@@ -16,7 +16,7 @@
 func TestResult(t *testing.T) { testkit.Suite(t, "result") }
 
 var _ = Describe("the table of result codes", func() {
-	It("gives each number and name once", func() {
+	It("uses each number and name once", func() {
 		seen := map[string]bool{}
 		for _, e := range result.Table {
 			for _, k := range []string{fmt.Sprint(uint32(e.Code)), e.Name} {
@@ -26,7 +26,7 @@
 		}
 	})
 
-	It("stands in the documentation as it is", func() {
+	It("matches docs/RESULT-CODES.md", func() {
 		raw, err := os.ReadFile("../docs/RESULT-CODES.md")
 		Expect(err).NotTo(HaveOccurred())
 		for _, e := range result.Table {
