--- a/internal/buckets/buckets.go
+++ b/internal/buckets/buckets.go
@@ -1,4 +1,4 @@
-// Package buckets holds the bounds of histograms.
+// Package buckets defines histogram buckets.
 package buckets
 
 import (
@@ -7,6 +7,6 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Durations span 1 ms to 16 s, each bound twice the one before: calls to the
-// platform take a few milliseconds, the longest answers some seconds.
+// Durations has bounds from 1 ms to 16 s, each twice the previous one: calls to the
+// platform take a few milliseconds, the longest answers several seconds.
 var Durations = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 15)
--- a/internal/tcpopt/tcpopt.go
+++ b/internal/tcpopt/tcpopt.go
@@ -1,4 +1,4 @@
-// Package tcpopt sets options of TCP connections that package net does not know.
+// Package tcpopt sets TCP options that package net does not support.
 package tcpopt
 
 import (
@@ -8,14 +8,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// UserTimeout returns a Control function of net.Dialer. It ends a connection
-// whose bytes are not acknowledged within d, as of a peer that lost power or
-// behind a partition; without it such a connection hangs for minutes.
+// UserTimeout returns a Control function for net.Dialer that sets TCP_USER_TIMEOUT.
+// A connection then fails when sent data is not acknowledged within d, as after a
+// power loss of the peer or a partition; without it the connection hangs for minutes.
 func UserTimeout(d time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
-			// A failure is no reason not to connect: the timers of whoever uses the
-			// connection then notice a dead peer, only later.
+			// An error does not prevent the connection: its user then detects a dead
+			// peer by its own timeouts, only later.
 			_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
 		})
 	}
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -1,4 +1,4 @@
-// Package testkit holds what the tests of several packages share.
+// Package testkit holds helpers that the tests of several packages share.
 package testkit
 
 import (
@@ -11,7 +11,7 @@
 )
 
 // Main runs a package's tests with a fixed seed for property tests, so that
-// the verdict is the same every time.
+// their results are reproducible.
 func Main(m *testing.M) {
 	flag.Parse()
 	_ = flag.Set("rapid.seed", "1")
@@ -19,18 +19,17 @@
 	os.Exit(m.Run())
 }
 
-// Suite runs the specs of a package in a fixed order. It passes over those that the
-// list of known failures names, and prints them.
+// Suite runs the specs of a package in a fixed order and skips the known failures.
 func Suite(t *testing.T, name string) {
 	gomega.RegisterFailHandler(ginkgo.Fail)
 	suite, reporter := ginkgo.GinkgoConfiguration()
 	suite.RandomSeed = 1
-	reds, err := knownRed()
+	known, err := readKnownFailures()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, r := range reds {
-		suite.SkipStrings = append(suite.SkipStrings, r.skip())
+	for _, k := range known {
+		suite.SkipStrings = append(suite.SkipStrings, k.skipPattern())
 	}
 	ginkgo.RunSpecs(t, name, suite, reporter)
 }
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait pauses goroutines.
+// Package wait provides delays and periodic calls that end with a context.
 package wait
 
 import (
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// For returns after d, or when the context ends, and reports whether d has
-// passed.
+// For waits for d or until the context ends, and reports whether d has elapsed.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -19,7 +18,7 @@
 	}
 }
 
-// Every calls f each time that d has passed, until the context ends.
+// Every calls f at intervals of d until the context ends.
 func Every(ctx context.Context, d time.Duration, f func()) {
 	t := time.NewTicker(d)
 	defer t.Stop()
