--- a/decide/dispatch/node.go
+++ b/decide/dispatch/node.go
@@ -223,5 +223,5 @@
 }
 
 func refusal(c result.Code, after time.Duration, format string, args ...any) *result.Error {
-	return result.New(c, format, args...).After(after)
+	return result.New(c, format, args...).WithRetryAfter(after)
 }
--- a/decide/dispatch/router.go
+++ b/decide/dispatch/router.go
@@ -157,7 +157,7 @@
 		code, after = result.NoBackend, time.Second
 	}
 	if r.sent() {
-		n.fail(now, r, result.New(result.BackendFailed, "no other engine can take the request").After(after))
+		n.fail(now, r, result.New(result.BackendFailed, "no other engine can take the request").WithRetryAfter(after))
 		return
 	}
 	n.fail(now, r, refusal(code, after, "no candidate engine can take the request"))
@@ -312,7 +312,7 @@
 	if !r.sent() {
 		return refusal(result.NoBackend, time.Second, "the engine is unreachable and the retry budget is spent")
 	}
-	return result.New(result.BackendFailed, "the engine failed and the retry budget is spent").After(time.Second)
+	return result.New(result.BackendFailed, "the engine failed and the retry budget is spent").WithRetryAfter(time.Second)
 }
 
 // resume reattaches to the same attempt: the engine kept the stream, so the
--- a/result/result.go
+++ b/result/result.go
@@ -139,8 +139,8 @@
 	return &Error{Code: c, Message: fmt.Sprintf(format, args...), NotRun: Lookup(c).NotRun}
 }
 
-// After returns a copy of e that tells the caller when to retry.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter returns a copy of e that tells the caller when to retry.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	out := *e
 	out.RetryAfter = d
 	return &out
--- a/serve/api/home.go
+++ b/serve/api/home.go
@@ -117,13 +117,13 @@
 	known, full := a.home.begin(k, sum)
 	switch {
 	case full:
-		return result.New(result.ClaimUnavailable, "this instance holds too many keys; use one without a home").After(time.Second)
+		return result.New(result.ClaimUnavailable, "this instance holds too many keys; use one without a home").WithRetryAfter(time.Second)
 	case known == nil:
 		return a.runAtHome(c, k, f)
 	case known.body != sum:
 		return result.New(result.KeyReused, "the key was used with another request")
 	case !known.done:
-		return result.New(result.ClaimRunning, "the key is running or its outcome is unknown").After(time.Second)
+		return result.New(result.ClaimRunning, "the key is running or its outcome is unknown").WithRetryAfter(time.Second)
 	default:
 		return a.showKept(c, &peerpb.ClaimReply{
 			Runner: name, AnswerKept: known.kept, Status: uint32(known.status), ContentType: known.contentType, Answer: known.answer,
--- a/serve/api/once.go
+++ b/serve/api/once.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		// A grant may still be on its way; the key must not stay taken by it.
 		r.record(&peerpb.ClaimResult{NotRun: true})
-		return result.New(result.ClaimUnavailable, "the key could not be claimed in time").After(time.Second)
+		return result.New(result.ClaimUnavailable, "the key could not be claimed in time").WithRetryAfter(time.Second)
 	}
 	r.who.limit -= a.now() - began
 	switch reply.State {
@@ -86,7 +86,7 @@
 	case peerpb.ClaimState_CLAIM_MISMATCH:
 		return result.New(result.KeyReused, "the key was used with another request")
 	default:
-		return result.New(result.ClaimUnavailable, "the ledger of claims is not available").After(time.Duration(reply.RetryAfterUs) * time.Microsecond)
+		return result.New(result.ClaimUnavailable, "the ledger of claims is not available").WithRetryAfter(time.Duration(reply.RetryAfterUs) * time.Microsecond)
 	}
 }
 
@@ -117,7 +117,7 @@
 // again.
 func (a *API) takeOver(c echo.Context, r *claimed, reply *peerpb.ClaimReply, resume func(*claimed, string, string) error) error {
 	if a.instanceLives(reply.Runner) {
-		return result.New(result.ClaimRunning, "request %s runs under this key", reply.Runner).After(time.Second)
+		return result.New(result.ClaimRunning, "request %s runs under this key", reply.Runner).WithRetryAfter(time.Second)
 	}
 	if reply.Stream == "" || resume == nil {
 		return result.New(result.OutcomeUnknown, "request %s held this key and its instance died", reply.Runner)
--- a/serve/api/plain.go
+++ b/serve/api/plain.go
@@ -89,9 +89,9 @@
 
 func noServer(sent bool) error {
 	if sent {
-		return result.New(result.BackendFailed, "the backend server failed and no other is ready").After(time.Second)
+		return result.New(result.BackendFailed, "the backend server failed and no other is ready").WithRetryAfter(time.Second)
 	}
-	return result.New(result.NoBackend, "no backend server is ready").After(time.Second)
+	return result.New(result.NoBackend, "no backend server is ready").WithRetryAfter(time.Second)
 }
 
 // mayRepeat returns the failure to show, or nil to try another server.
@@ -111,7 +111,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.pools[name].MayRetry() {
-		e := result.New(result.BackendFailed, "the backend server failed and the retry budget is spent").After(time.Second)
+		e := result.New(result.BackendFailed, "the backend server failed and the retry budget is spent").WithRetryAfter(time.Second)
 		e.NotRun = !sent
 		return e
 	}
--- a/serve/api/request.go
+++ b/serve/api/request.go
@@ -27,7 +27,7 @@
 func (a *API) authenticate(c echo.Context) (caller, error) {
 	ix := a.conf.Index()
 	if ix == nil {
-		return caller{}, result.New(result.NoConfiguration, "no configuration yet").After(time.Second)
+		return caller{}, result.New(result.NoConfiguration, "no configuration yet").WithRetryAfter(time.Second)
 	}
 	key, ok := strings.CutPrefix(c.Request().Header.Get(echo.HeaderAuthorization), "Bearer ")
 	if !ok {
--- a/serve/dispatcher/dispatcher.go
+++ b/serve/dispatcher/dispatcher.go
@@ -154,7 +154,7 @@
 	d.mu.Unlock()
 	if !d.events.Offer(dispatch.Arrive{Job: job, Once: once}) {
 		d.Close(t)
-		return nil, result.New(result.RingFull, "the dispatch ring is full").After(time.Second)
+		return nil, result.New(result.RingFull, "the dispatch ring is full").WithRetryAfter(time.Second)
 	}
 	return t, nil
 }
--- a/serve/relay/exchange.go
+++ b/serve/relay/exchange.go
@@ -180,7 +180,7 @@
 		x.splitter.discardPartial()
 		return true
 	case attempt.Refuse:
-		x.endWithError(result.New(result.NoBackend, "no backend server ran the request").After(max(minRetryAfterNotRun, x.retryAfter)))
+		x.endWithError(result.New(result.NoBackend, "no backend server ran the request").WithRetryAfter(max(minRetryAfterNotRun, x.retryAfter)))
 	case attempt.PassOn:
 		x.sink.Whole(x.serverError, x.serverErrorBody)
 		x.warn("server error passed on")
@@ -226,9 +226,9 @@
 		return result.New(result.TooLongForFleet, "all engines together lack the memory for this prompt")
 	case spread.NoRoom:
 		return result.New(result.Overloaded, "the engines are too busy for this prompt (%s): mean prefill backlog %s, room for %d tokens on the emptiest",
-			p.Reason, p.Backlog.Round(time.Millisecond), p.MostRoom).After(retryAfterNoRoom)
+			p.Reason, p.Backlog.Round(time.Millisecond), p.MostRoom).WithRetryAfter(retryAfterNoRoom)
 	default:
-		return result.New(result.NoBackend, "no backend server is ready").After(retryAfterNoBackend)
+		return result.New(result.NoBackend, "no backend server is ready").WithRetryAfter(retryAfterNoBackend)
 	}
 }
 
--- a/serve/relay/quarantine.go
+++ b/serve/relay/quarantine.go
@@ -58,7 +58,7 @@
 		if ruling.Verdict == poison.Poisonous {
 			x.relay.log.Warn("request quarantined, servers crashed while running it", zap.String("request", x.req.ID), zap.Stringer("identity", x.identity()),
 				zap.Int("crashes", ruling.Crashes), zap.Duration("retry_after", ruling.RetryAfter))
-			x.endWithError(result.New(result.Quarantined, "%d servers that ran this request crashed, one after the other", ruling.Crashes).After(ruling.RetryAfter))
+			x.endWithError(result.New(result.Quarantined, "%d servers that ran this request crashed, one after the other", ruling.Crashes).WithRetryAfter(ruling.RetryAfter))
 			return false
 		}
 		if ruling.Wait == 0 {
--- a/serve/relay/relay.go
+++ b/serve/relay/relay.go
@@ -164,7 +164,7 @@
 func (r *Relay) newExchange(req *Request, sink Sink) (*exchange, *result.Error) {
 	table := r.catalog.Table()
 	if table == nil || r.catalog.Servers() == nil {
-		return nil, result.New(result.NoConfiguration, "no configuration received yet").After(retryAfterNoConfig)
+		return nil, result.New(result.NoConfiguration, "no configuration received yet").WithRetryAfter(retryAfterNoConfig)
 	}
 	rt, customer, refusal := authorize(table, req)
 	if refusal != nil {
@@ -179,7 +179,7 @@
 	}
 	service, ok := table.Service(r.pickService(rt))
 	if !ok {
-		return nil, result.New(result.NoBackend, "the route's service is not configured").After(retryAfterNoBackend)
+		return nil, result.New(result.NoBackend, "the route's service is not configured").WithRetryAfter(retryAfterNoBackend)
 	}
 	return &exchange{
 		relay: r, req: req, sink: sink, route: rt, service: service, customer: name, rank: rank, version: table.Version,
@@ -217,7 +217,7 @@
 	if r.catalog.ConfigState() == knowledge.Confirmed {
 		return refusal
 	}
-	return result.New(result.Unconfirmed, "%s, by a configuration that may be outdated", refusal.Message).After(retryAfterUnconfirmed)
+	return result.New(result.Unconfirmed, "%s, by a configuration that may be outdated", refusal.Message).WithRetryAfter(retryAfterUnconfirmed)
 }
 
 func effectiveTimeLimit(rt *route.Route, req *Request) time.Duration {
