--- a/serve/relay/answer.go
+++ b/serve/relay/answer.go
@@ -37,7 +37,7 @@
 		return attempt.ServerError, errors.Newf("server answered %d", h.Status)
 	}
 	x.firstLatency = x.relay.now() - x.started
-	x.sink.Whole(h, body)
+	x.sink.Respond(h, body)
 	return 0, nil
 }
 
--- a/serve/relay/exchange.go
+++ b/serve/relay/exchange.go
@@ -182,7 +182,7 @@
 	case attempt.Refuse:
 		x.endWithError(result.New(result.NoBackend, "no backend server ran the request").WithRetryAfter(max(minRetryAfterNotRun, x.retryAfter)))
 	case attempt.PassOn:
-		x.sink.Whole(x.serverError, x.serverErrorBody)
+		x.sink.Respond(x.serverError, x.serverErrorBody)
 		x.warn("server error passed on")
 	case attempt.Fail, attempt.Abort:
 		x.endWithError(result.New(result.BackendFailed, "the backend server failed"))
--- a/serve/relay/request.go
+++ b/serve/relay/request.go
@@ -40,13 +40,13 @@
 	return poison.Identity{Customer: customer, Method: r.Method, Host: r.Host, Target: r.Target, Body: r.Body}.Key()
 }
 
-// Sink sends the answer to the client. Exactly one of Refuse, Whole, or Begin
+// Sink sends the answer to the client. Exactly one of Refuse, Respond, Abort, or Begin
 // followed by End or Abort is called.
 type Sink interface {
 	// Refuse sends an error of this instance as the final answer.
 	Refuse(*result.Error)
-	// Whole sends a complete answer that is not a stream.
-	Whole(h backend.Head, body []byte)
+	// Respond sends a complete answer that is not a stream.
+	Respond(h backend.Head, body []byte)
 	// Begin sends the head of a stream.
 	Begin(h backend.Head)
 	// Write sends events without delay; it fails when the client is gone.
