--- a/decide/dispatch/node.go
+++ b/decide/dispatch/node.go
@@ -224,5 +224,5 @@
 }
 
 func refusalError(c result.Code, retryAfter time.Duration, format string, args ...any) *result.Error {
-	return result.New(c, format, args...).After(retryAfter)
+	return result.New(c, format, args...).WithRetryAfter(retryAfter)
 }
--- a/decide/dispatch/router.go
+++ b/decide/dispatch/router.go
@@ -160,7 +160,7 @@
 		code, retryAfter = result.NoBackend, time.Second
 	}
 	if r.maybeSent() {
-		n.fail(now, r, result.New(result.BackendFailed, "no other engine can take the request").After(retryAfter))
+		n.fail(now, r, result.New(result.BackendFailed, "no other engine can take the request").WithRetryAfter(retryAfter))
 		return
 	}
 	n.fail(now, r, refusalError(code, retryAfter, "no candidate engine can take the request"))
@@ -314,7 +314,7 @@
 	if !r.maybeSent() {
 		return refusalError(result.NoBackend, time.Second, "the engine is unreachable and the retry budget is spent")
 	}
-	return result.New(result.BackendFailed, "the engine failed and the retry budget is spent").After(time.Second)
+	return result.New(result.BackendFailed, "the engine failed and the retry budget is spent").WithRetryAfter(time.Second)
 }
 
 // resume reattaches to the stream of the same attempt. The engine keeps the
