--- a/decide/dispatch/machine.go
+++ b/decide/dispatch/machine.go
@@ -70,8 +70,8 @@
 	ID      string
 	Attempt uint32
 	Fault   Fault
-	// Shown is set if a part of the answer was sent to the caller.
-	Shown bool
+	// ResponseStarted is set if a part of the answer was sent to the caller.
+	ResponseStarted bool
 }
 
 // CallerGone reports that the caller disconnected.
--- a/decide/dispatch/router.go
+++ b/decide/dispatch/router.go
@@ -271,7 +271,7 @@
 		n.succeed(now, p)
 		return
 	}
-	n.attemptFailed(now, p, ev.Fault, ev.Shown)
+	n.attemptFailed(now, p, ev.Fault, ev.ResponseStarted)
 }
 
 func (n *Node) succeed(now time.Duration, p *part) {
@@ -284,7 +284,7 @@
 }
 
 // attemptFailed resumes a failed attempt, retries it or fails the request.
-func (n *Node) attemptFailed(now time.Duration, p *part, fault Fault, shown bool) {
+func (n *Node) attemptFailed(now time.Duration, p *part, fault Fault, responseStarted bool) {
 	r := p.req
 	if fault == Broken && r.resumes < maxResumes {
 		n.resume(now, p)
@@ -295,7 +295,7 @@
 	r.inFlight = false
 	r.tried[p.engine] = true
 	switch {
-	case shown:
+	case responseStarted:
 		n.fail(now, r, result.New(result.BackendFailed, "the answer broke off and could not be resumed"))
 	case r.once && r.maybeSent():
 		n.fail(now, r, result.New(result.OutcomeUnknown, "the engine failed; a request of this kind is not repeated"))
--- a/serve/api/session.go
+++ b/serve/api/session.go
@@ -230,7 +230,7 @@
 		s.err = result.New(result.CallerGone, "the caller closed the connection")
 		return true
 	default:
-		s.disp.Report(dispatch.StreamEnd{ID: r.start.ID, Attempt: r.start.Attempt, Fault: faultOf(r.err), Shown: s.sink.shown()})
+		s.disp.Report(dispatch.StreamEnd{ID: r.start.ID, Attempt: r.start.Attempt, Fault: faultOf(r.err), ResponseStarted: s.sink.shown()})
 		return false
 	}
 }
