--- a/decide/dispatch/machine.go
+++ b/decide/dispatch/machine.go
@@ -38,8 +38,8 @@
 	Env  *peerpb.Envelope
 }
 
-// StreamFirst reports the first token of a started part.
-type StreamFirst struct {
+// StreamFirstToken reports the first token of a started part.
+type StreamFirstToken struct {
 	ID      string
 	Attempt uint32
 	Cached  int64
@@ -104,16 +104,16 @@
 // TickEvery is the period of Tick and bounds how late a deadline is detected.
 const TickEvery = 10 * time.Millisecond
 
-func (Arrive) event()       {}
-func (Received) event()     {}
-func (StreamFirst) event()  {}
-func (StreamHeld) event()   {}
-func (StreamEnd) event()    {}
-func (CallerGone) event()   {}
-func (EngineReport) event() {}
-func (EngineLost) event()   {}
-func (Directory) event()    {}
-func (Tick) event()         {}
+func (Arrive) event()           {}
+func (Received) event()         {}
+func (StreamFirstToken) event() {}
+func (StreamHeld) event()       {}
+func (StreamEnd) event()        {}
+func (CallerGone) event()       {}
+func (EngineReport) event()     {}
+func (EngineLost) event()       {}
+func (Directory) event()        {}
+func (Tick) event()             {}
 
 // Action is an output of a Machine.
 type Action interface{ action() }
--- a/decide/dispatch/node.go
+++ b/decide/dispatch/node.go
@@ -106,7 +106,7 @@
 		n.onArrive(now, ev)
 	case Received:
 		n.receive(now, ev.From, ev.Env)
-	case StreamFirst:
+	case StreamFirstToken:
 		n.onFirstToken(now, ev)
 	case StreamHeld:
 		n.onStreamHeld(now, ev)
--- a/decide/dispatch/place_bench_test.go
+++ b/decide/dispatch/place_bench_test.go
@@ -73,7 +73,7 @@
 	if len(n.Step(now, Received{From: "o", Env: &peerpb.Envelope{Body: &peerpb.Envelope_Grant{Grant: grant}}})) == 0 {
 		b.Fatal("not started")
 	}
-	n.Step(now, StreamFirst{ID: j.Id, Attempt: 1})
+	n.Step(now, StreamFirstToken{ID: j.Id, Attempt: 1})
 	n.Step(now, StreamEnd{ID: j.Id, Attempt: 1})
 	n.active = n.active[:0]
 }
--- a/decide/dispatch/router.go
+++ b/decide/dispatch/router.go
@@ -251,7 +251,7 @@
 	n.addAction(Start{Request: r.job.Id, ID: p.id, Attempt: p.job.Attempt, Engine: p.engine, Priority: p.priority, Segment: seg})
 }
 
-func (n *Node) onFirstToken(now time.Duration, ev StreamFirst) {
+func (n *Node) onFirstToken(now time.Duration, ev StreamFirstToken) {
 	p := n.parts[ev.ID]
 	if p == nil || p.job.Attempt != ev.Attempt || p.state != partStarted {
 		return
--- a/lab/bench/loop.go
+++ b/lab/bench/loop.go
@@ -297,7 +297,7 @@
 		if o := l.outcomes[st.request]; o != nil && st.last {
 			o.First = t
 		}
-		l.step(t, st.entry, dispatch.StreamFirst{ID: st.part, Attempt: st.attempt, Cached: out.Cached})
+		l.step(t, st.entry, dispatch.StreamFirstToken{ID: st.part, Attempt: st.attempt, Cached: out.Cached})
 	})
 }
 
--- a/serve/api/session.go
+++ b/serve/api/session.go
@@ -178,7 +178,7 @@
 	case s.order.Following() == next:
 		return nil
 	case next == 0:
-		s.disp.Report(dispatch.StreamFirst{ID: st.ID, Attempt: st.Attempt, Cached: ch.Cached})
+		s.disp.Report(dispatch.StreamFirstToken{ID: st.ID, Attempt: st.Attempt, Cached: ch.Cached})
 	}
 	return errors.Mark(s.sink.token(text), errCaller)
 }
