--- a/decide/sched/engine.go
+++ b/decide/sched/engine.go
@@ -26,11 +26,11 @@
 	// Headroom is the share of the KV memory reserved for requests smaller than
 	// itself, so that long requests cannot block short ones.
 	Headroom float64
-	// PatientShare is the share of its time limit within which a deferrable
+	// DeferrableShare is the share of its time limit within which a deferrable
 	// request must be predicted to finish. The rest is a reserve for later
 	// arrivals: without it, overload delays long requests to their latest start,
 	// where they precede all short ones.
-	PatientShare float64
+	DeferrableShare float64
 	// Affinity enables predictions that subtract the tokens expected in the
 	// engine's prefix cache.
 	Affinity bool
@@ -40,7 +40,7 @@
 func DefaultConfig() Config {
 	return Config{
 		Order: "stretch", MaxQueue: 512, Window: 100 * time.Millisecond,
-		Expiry: 6 * time.Second, Headroom: 0.1, PatientShare: 0.25, Affinity: true,
+		Expiry: 6 * time.Second, Headroom: 0.1, DeferrableShare: 0.25, Affinity: true,
 	}
 }
 
--- a/decide/sched/predict.go
+++ b/decide/sched/predict.go
@@ -126,7 +126,7 @@
 		return limit
 	}
 	ownTime := e.prefillTime(r.work) + e.decodeTime(r.job)
-	share := max(time.Duration(float64(limit)*e.cfg.PatientShare), time.Duration(minDeferrableStretch*float64(ownTime)))
+	share := max(time.Duration(float64(limit)*e.cfg.DeferrableShare), time.Duration(minDeferrableStretch*float64(ownTime)))
 	return min(limit, share)
 }
 
--- a/lab/bench/policy.go
+++ b/lab/bench/policy.go
@@ -63,7 +63,7 @@
 	RegisterPolicy(Policy{Name: "order-one-stretch", About: "the product with one allowance for all requests",
 		New: variant(func(c *dispatch.Config) { c.Sched.Order = "one-stretch" })})
 	RegisterPolicy(Policy{Name: "patient-whole", About: "the product that admits patient requests for their whole time",
-		New: variant(func(c *dispatch.Config) { c.Sched.PatientShare = 1 })})
+		New: variant(func(c *dispatch.Config) { c.Sched.DeferrableShare = 1 })})
 	RegisterPolicy(Policy{Name: "no-affinity", About: "the product without prefix affinity",
 		New: variant(func(c *dispatch.Config) { c.Sched.Affinity = false })})
 	RegisterPolicy(Policy{Name: "one-candidate", About: "the product asking one engine only",
