--- a/control/config/config.go
+++ b/control/config/config.go
@@ -262,7 +262,7 @@
 
 func (c *Config) watcher() bool {
 	names := member.Owners(c.mem.View().Alive)
-	return len(names) == 0 || place.Among(c.self, confver.WatchDuty, names, c.Watchers)
+	return len(names) == 0 || place.InTop(c.self, confver.WatchDuty, names, c.Watchers)
 }
 
 // Dump implements auburnmoor.Dumper.
--- a/control/orders/orders.go
+++ b/control/orders/orders.go
@@ -124,7 +124,7 @@
 
 func (o *Orders) step(ctx context.Context, ev lease.Event) {
 	owners := member.Owners(o.mem.View().Alive)
-	candidate := place.Among(o.self, leaseKey, owners, o.Candidates)
+	candidate := place.InTop(o.self, leaseKey, owners, o.Candidates)
 	o.mu.Lock()
 	o.lease.Want(candidate && !o.mem.Leaving())
 	var actions []lease.Action
--- a/decide/place/place.go
+++ b/decide/place/place.go
@@ -37,10 +37,10 @@
 // defaultWeight is the weight of a member that does not report one.
 const defaultWeight = 400
 
-// Weighted returns the score of a member for key by weighted rendezvous hashing:
+// WeightedScore returns the score of a member for key by weighted rendezvous hashing:
 // the chance of the highest score is proportional to the weight. A zero weight
 // stands for the default weight.
-func Weighted(key, member string, weight uint32) float64 {
+func WeightedScore(key, member string, weight uint32) float64 {
 	if weight == 0 {
 		weight = defaultWeight
 	}
@@ -49,9 +49,9 @@
 	return -float64(weight) / math.Log(u)
 }
 
-// Among reports whether self is one of the n highest-ranked members for key, for
+// InTop reports whether self is one of the n highest-ranked members for key, for
 // tasks that only a few members perform.
-func Among(self, key string, members []string, n int) bool {
+func InTop(self, key string, members []string, n int) bool {
 	return slices.Contains(Rank(key, members, n), self)
 }
 
--- a/decide/watch/watch.go
+++ b/decide/watch/watch.go
@@ -81,7 +81,7 @@
 	}
 	all := make([]scored, len(list))
 	for i, m := range list {
-		all[i] = scored{m, place.Weighted(dataCentre, m.Name, m.Capacity)}
+		all[i] = scored{m, place.WeightedScore(dataCentre, m.Name, m.Capacity)}
 	}
 	slices.SortFunc(all, func(a, b scored) int {
 		switch {
--- a/lab/trial/requests.go
+++ b/lab/trial/requests.go
@@ -186,7 +186,7 @@
 	if in.now()%pollEvery >= tickEvery {
 		return
 	}
-	if !place.Among(in.name, confver.WatchDuty, owners, 2) && in.holder.Version() > 0 {
+	if !place.InTop(in.name, confver.WatchDuty, owners, 2) && in.holder.Version() > 0 {
 		return
 	}
 	in.call(func() func() {
