--- a/decide/prefix/prefix.go
+++ b/decide/prefix/prefix.go
@@ -15,8 +15,8 @@
 	blockBytes     = BytesPerToken * TokensPerBlock
 )
 
-// Tokens estimates the number of tokens of a prompt of n bytes.
-func Tokens(n int) int {
+// EstimateTokens estimates the number of tokens of a prompt of n bytes.
+func EstimateTokens(n int) int {
 	return (n + BytesPerToken - 1) / BytesPerToken
 }
 
--- a/lab/standin/engineserver/server.go
+++ b/lab/standin/engineserver/server.go
@@ -211,7 +211,7 @@
 	if err != nil {
 		return nil, enginecore.Request{}, err
 	}
-	tokens := int64(prefix.Tokens(len(prompt)))
+	tokens := int64(prefix.EstimateTokens(len(prompt)))
 	st := &stream{meta: meta, hash: d.Sum64(), digest: state, tokens: tokens, changed: make(chan struct{})}
 	req := enginecore.Request{
 		ID: meta.ID, Attempt: meta.Attempt, PromptTokens: tokens, MaxTokens: meta.MaxTokens,
--- a/serve/api/completion.go
+++ b/serve/api/completion.go
@@ -94,7 +94,7 @@
 func (a *API) complete(c echo.Context, w work, r *claimed) error {
 	job := &peerpb.Job{
 		Id: requestID(c), Customer: w.customer.Name, Model: w.model,
-		PromptTokens: int64(prefix.Tokens(len(w.prompt))), MaxTokens: w.max,
+		PromptTokens: int64(prefix.EstimateTokens(len(w.prompt))), MaxTokens: w.max,
 		Prefix:      prefix.Sample(prefix.Chain(w.prompt)),
 		RemainingUs: w.limit.Microseconds(), TargetUs: w.kind.Target().Microseconds(),
 		Weight: int64(w.customer.Share),
