--- a/lab/bench/summary.go
+++ b/lab/bench/summary.go
@@ -91,8 +91,8 @@
 		s.MemoryLeft += e.core.Held()
 	}
 	for _, m := range l.machines {
-		if n, ok := m.(interface{ Load() (int, int64) }); ok {
-			_, memory := n.Load()
+		if n, ok := m.(interface{ HeldResources() (int, int64) }); ok {
+			_, memory := n.HeldResources()
 			s.Reserved += memory
 		}
 	}
