--- a/decide/dispatch/node.go
+++ b/decide/dispatch/node.go
@@ -214,8 +214,8 @@
 	return d
 }
 
-// HeldResources returns the number of unfinished requests and the KV tokens reserved on
-// the owned engines, for invariant checks.
+// HeldResources returns the number of unfinished requests and the KV tokens
+// reserved on the owned engines, for invariant checks.
 func (n *Node) HeldResources() (requests int, memory int64) {
 	for _, e := range n.engines {
 		memory += e.ReservedMemory()
