--- a/decide/backends/backends_test.go
+++ b/decide/backends/backends_test.go
@@ -12,7 +12,7 @@
 	"github.com/auburnmoor/auburnmoor/internal/testkit"
 )
 
-// at is a position of the first era.
+// at returns a position of the first era.
 func at(revision int64) position.Position { return position.Position{Era: 1, Revision: revision} }
 
 func TestBackends(t *testing.T) { testkit.Suite(t, "backends") }
@@ -23,16 +23,16 @@
 	leaving := a
 	leaving.Leaving = true
 
-	It("follows changes", func() {
+	It("applies changes", func() {
 		set := backends.NewSet()
 		Expect(set.Replace(0, []backends.Server{a, b}, at(5))).To(BeTrue())
 		Expect(set.Apply(0, []backends.Change{{ID: "b"}}, at(6))).To(BeTrue())
 		Expect(set.Snapshot().Ready("s")).To(Equal([]backends.Server{a}))
 	})
 
-	// A leaving server gets a new request. The watch told that it is leaving;
-	// then a stale read, seconds behind, showed it ready again.
-	It("never takes a leaving server back", func() {
+	// Guards against sending a request to a leaving server: the watch reported it as
+	// leaving, then a read that lagged by seconds showed it ready again.
+	It("never makes a leaving server ready again", func() {
 		set := backends.NewSet()
 		set.Replace(0, []backends.Server{a}, at(5))
 		set.Apply(time.Second, []backends.Change{{ID: "a", Server: &leaving}}, at(9))
@@ -43,26 +43,26 @@
 		Expect(known).To(BeTrue())
 	})
 
-	// A service stays without its only server for half a minute: it was emptied, crashed
-	// and started again under its ID; the memory of its leaving outlived it.
-	DescribeTable("takes another life of the ID for another server", func(left, came backends.Life, ready bool) {
+	// Guards against losing a service's only server for 30 seconds: it was drained, crashed
+	// and restarted under its ID, and the record of its departure hid the new life.
+	DescribeTable("treats another life of the ID as another server", func(left, started backends.Life, ready bool) {
 		old, next := leaving, a
-		old.Life, next.Life = left, came
+		old.Life, next.Life = left, started
 		set := backends.NewSet()
 		set.Replace(0, []backends.Server{old}, at(5))
 		set.Apply(time.Second, []backends.Change{{ID: "a", Server: &next}}, at(6))
 		Expect(set.Snapshot().Ready("s")).To(HaveLen(map[bool]int{true: 1}[ready]))
 	},
-		Entry("later", backends.Life(1000), backends.Life(2000), true),
-		Entry("whose clock was stepped back", backends.Life(2000), backends.Life(1000), true),
-		Entry("but not the same one", backends.Life(1000), backends.Life(1000), false),
-		Entry("but not one that is not known", backends.Life(1000), backends.Life(0), false),
-		Entry("nor one after a life that is not known", backends.Life(0), backends.Life(1000), false),
+		Entry("started later", backends.Life(1000), backends.Life(2000), true),
+		Entry("started earlier by a clock that was set back", backends.Life(2000), backends.Life(1000), true),
+		Entry("but not the same life", backends.Life(1000), backends.Life(1000), false),
+		Entry("but not an unknown life", backends.Life(1000), backends.Life(0), false),
+		Entry("nor a life after an unknown one", backends.Life(0), backends.Life(1000), false),
 	)
 
-	// A server stays out for half a minute after it left and started again twice: once it
-	// did not tell its life.
-	It("takes a life for another one once a known life left after one that was not known", func() {
+	// Guards against excluding a server for 30 seconds: it left and restarted twice, the
+	// first time with an unknown life, whose record matched every later life.
+	It("supersedes the departure of an unknown life by that of a known one", func() {
 		first, second, third := leaving, leaving, a
 		second.Life, third.Life = 1000, 2000
 		set := backends.NewSet()
@@ -72,7 +72,7 @@
 		Expect(set.Snapshot().Ready("s")).To(HaveLen(1))
 	})
 
-	It("loses a new life to a late entry of the old one only until the next heartbeat", func() {
+	It("hides a new life behind a late entry of the old one only until the next heartbeat", func() {
 		first, second := leaving, a
 		first.Life, second.Life = 1000, 2000
 		set := backends.NewSet()
--- a/decide/backends/era_test.go
+++ b/decide/backends/era_test.go
@@ -10,11 +10,12 @@
 	"github.com/auburnmoor/auburnmoor/decide/position"
 )
 
-// later is a position of the second era.
+// later returns a position of the second era.
 func later(revision int64) position.Position { return position.Position{Era: 2, Revision: revision} }
 
-// The store comes back from a copy: it lacks what registered since then and lists what
-// left. All work went to the servers that the copy knows, or to servers that had ended.
+// A store restored from a backup lacks the servers that registered since and lists those
+// that left. Guards against sending all requests to the servers in the backup, or to
+// servers that have ended.
 var _ = Describe("a list of a later era", func() {
 	server := func(id string, life backends.Life) backends.Server {
 		return backends.Server{ID: id, Life: life, Service: "s", Addr: "10.0.0.1:80"}
@@ -22,9 +23,9 @@
 	a, b := server("a", 1000), server("b", 1000)
 	leavingA := a
 	leavingA.Leaving = true
-	reborn := server("a", 2000)
-	leavingReborn := reborn
-	leavingReborn.Leaving = true
+	restarted := server("a", 2000)
+	leavingRestarted := restarted
+	leavingRestarted.Leaving = true
 	var set *backends.Set
 	ready := func() (ids []string) {
 		for _, s := range set.Snapshot().Ready("s") {
@@ -38,36 +39,36 @@
 	})
 	const era = 10 * time.Second
 
-	It("is taken over though its revision is lower, and one of the last era no more", func() {
+	It("is adopted although its revision is lower, and excludes lists of the last era", func() {
 		Expect(set.Replace(era, []backends.Server{a, b}, later(5))).To(BeTrue())
 		Expect(set.Replace(era, []backends.Server{a}, at(95))).To(BeFalse())
 		Expect(set.Apply(era, []backends.Change{{ID: "b"}}, at(96))).To(BeFalse())
 		Expect(ready()).To(Equal([]string{"a", "b"}))
 	})
 
-	It("loses no server that lives until it could have written again", func() {
+	It("retains a missing server until it has had time to write its entry again", func() {
 		set.Replace(era, []backends.Server{a}, later(5))
 		Expect(set.Settle(era + 1900*time.Millisecond)).To(BeFalse())
 		Expect(ready()).To(Equal([]string{"a", "b"}))
-		Expect(set.Snapshot().All()).To(HaveLen(1), "others are told only what the store lists")
+		Expect(set.Snapshot().All()).To(HaveLen(1), "All returns only what the store lists")
 		Expect(set.Settle(era + 2*time.Second)).To(BeTrue())
 		Expect(ready()).To(Equal([]string{"a"}))
 	})
 
-	It("keeps a server that wrote again", func() {
+	It("keeps a server that wrote its entry again", func() {
 		set.Replace(era, nil, later(5))
 		set.Apply(era+time.Second, []backends.Change{{ID: "b", Server: &b}}, later(6))
 		set.Settle(era + 2*time.Second)
 		Expect(ready()).To(Equal([]string{"b"}))
 	})
 
-	It("ends the use of a kept server at once when the store tells that it is gone", func() {
+	It("drops a retained server at once when the store reports its departure", func() {
 		set.Replace(era, []backends.Server{a}, later(5))
 		set.Apply(era, []backends.Change{{ID: "b"}}, later(6))
 		Expect(ready()).To(Equal([]string{"a"}))
 	})
 
-	It("keeps through a second era what it kept in the first", func() {
+	It("retains through a third era the servers retained in the second", func() {
 		set.Replace(era, []backends.Server{a}, later(5))
 		set.Replace(era+time.Second, []backends.Server{a}, position.Position{Era: 3, Revision: 4})
 		set.Settle(era + 2500*time.Millisecond)
@@ -76,13 +77,13 @@
 		Expect(ready()).To(Equal([]string{"a"}))
 	})
 
-	// Each order in which an instance hears of the end of a server, of its next life and
-	// of the new era.
-	DescribeTable("uses a server", func(before []backends.Change, copied []backends.Server, after []backends.Change, want bool) {
+	// The orders in which an instance may learn of the departure of a server, of its next
+	// life and of the new era.
+	DescribeTable("uses a server", func(before []backends.Change, restored []backends.Server, after []backends.Change, want bool) {
 		for i, c := range before {
 			set.Apply(time.Second, []backends.Change{c}, at(int64(91+i)))
 		}
-		set.Replace(era, copied, later(5))
+		set.Replace(era, restored, later(5))
 		for i, c := range after {
 			set.Apply(era+time.Second, []backends.Change{c}, later(int64(6+i)))
 		}
@@ -93,38 +94,38 @@
 		}
 		Expect(used).To(Equal(want))
 	},
-		Entry("that nothing was heard of", nil, []backends.Server{a, b}, nil, true),
-		Entry("not that said that it leaves, though the copy has it ready",
+		Entry("that did not change", nil, []backends.Server{a, b}, nil, true),
+		Entry("but not one that was leaving, although the backup lists it as ready",
 			[]backends.Change{{ID: "a", Server: &leavingA}}, []backends.Server{a, b}, nil, false),
-		Entry("not that said so and writes it again",
+		Entry("but not one that was leaving and writes so again",
 			[]backends.Change{{ID: "a", Server: &leavingA}}, []backends.Server{a, b}, []backends.Change{{ID: "a", Server: &leavingA}}, false),
-		Entry("not that left the list",
+		Entry("but not one that left the list",
 			[]backends.Change{{ID: "a"}}, []backends.Server{a, b}, nil, false),
-		Entry("that left the list and writes again",
+		Entry("that left the list and writes its entry again",
 			[]backends.Change{{ID: "a"}}, []backends.Server{a, b}, []backends.Change{{ID: "a", Server: &a}}, true),
-		Entry("that started again before the era, though the copy has its former life",
-			[]backends.Change{{ID: "a"}, {ID: "a", Server: &reborn}}, []backends.Server{b}, []backends.Change{{ID: "a", Server: &reborn}}, true),
-		Entry("whose next life the copy has",
-			[]backends.Change{{ID: "a"}}, []backends.Server{reborn, b}, nil, true),
-		Entry("that starts again in the era",
-			[]backends.Change{{ID: "a", Server: &leavingA}}, []backends.Server{a, b}, []backends.Change{{ID: "a", Server: &reborn}}, true),
-		// Its next life listens at its address, and leaves: two lives were seen to leave.
-		Entry("not whose former life the copy has",
-			[]backends.Change{{ID: "a", Server: &leavingA}, {ID: "a", Server: &reborn}, {ID: "a", Server: &leavingReborn}}, []backends.Server{a, b}, nil, false),
-		Entry("in its next life, though the copy has the former one",
-			[]backends.Change{{ID: "a", Server: &reborn}}, []backends.Server{a, b}, []backends.Change{{ID: "a", Server: &reborn}}, true),
-		Entry("not that left in the era", nil, []backends.Server{a, b}, []backends.Change{{ID: "a", Server: &leavingA}}, false),
-		Entry("not that left before, unheard, and that the copy lacks", nil, []backends.Server{b}, nil, false),
+		Entry("that restarted before the new era and that the backup lacks",
+			[]backends.Change{{ID: "a"}, {ID: "a", Server: &restarted}}, []backends.Server{b}, []backends.Change{{ID: "a", Server: &restarted}}, true),
+		Entry("whose next life is in the backup",
+			[]backends.Change{{ID: "a"}}, []backends.Server{restarted, b}, nil, true),
+		Entry("that restarts in the new era",
+			[]backends.Change{{ID: "a", Server: &leavingA}}, []backends.Server{a, b}, []backends.Change{{ID: "a", Server: &restarted}}, true),
+		// Both lives were seen to leave; the process at the address is the second one.
+		Entry("but not one whose later life is leaving, although the backup lists the earlier one",
+			[]backends.Change{{ID: "a", Server: &leavingA}, {ID: "a", Server: &restarted}, {ID: "a", Server: &leavingRestarted}}, []backends.Server{a, b}, nil, false),
+		Entry("in its next life, although the backup lists the earlier one",
+			[]backends.Change{{ID: "a", Server: &restarted}}, []backends.Server{a, b}, []backends.Change{{ID: "a", Server: &restarted}}, true),
+		Entry("but not one that is leaving in the new era", nil, []backends.Server{a, b}, []backends.Change{{ID: "a", Server: &leavingA}}, false),
+		Entry("but not one that left unnoticed before and that the backup lacks", nil, []backends.Server{b}, nil, false),
 	)
 
-	// All servers had ended before the copy came back.
-	It("brings no server back to an instance that knew of none", func() {
+	// All servers had left before the store was restored.
+	It("brings back no server that left", func() {
 		set.Apply(time.Second, []backends.Change{{ID: "a"}, {ID: "b"}}, at(91))
 		set.Replace(era, []backends.Server{a, b}, later(5))
 		Expect(ready()).To(BeEmpty())
 	})
 
-	It("believes at last a server that the store goes on listing", func() {
+	It("uses a server again that the store keeps listing", func() {
 		set.Apply(time.Second, []backends.Change{{ID: "a"}}, at(91))
 		set.Replace(era, []backends.Server{a, b}, later(5))
 		set.Settle(era + 4*time.Second)
--- a/decide/backends/property_test.go
+++ b/decide/backends/property_test.go
@@ -16,20 +16,20 @@
 
 func TestMain(m *testing.M) { testkit.Main(m) }
 
-// started is one life of a server.
-type started struct {
+// serverLife is one life of a server.
+type serverLife struct {
 	id   string
 	life backends.Life
 }
 
-// listing is the list of servers as a store holds it, with the changes of its era.
-type listing struct {
+// serverList is the list of servers in the store, with the changes of its era.
+type serverList struct {
 	at      position.Position
 	servers map[string]backends.Server
 	history map[int64]backends.Change
 }
 
-func (l *listing) change(id string, s *backends.Server) {
+func (l *serverList) change(id string, s *backends.Server) {
 	l.at.Revision++
 	l.history[l.at.Revision] = backends.Change{ID: id, Server: s}
 	if s == nil {
@@ -39,11 +39,11 @@
 	l.servers[id] = *s
 }
 
-func (l *listing) all() []backends.Server { return slices.Collect(maps.Values(l.servers)) }
+func (l *serverList) all() []backends.Server { return slices.Collect(maps.Values(l.servers)) }
 
-// follow brings a set up to date, by changes within an era, by the whole list otherwise, and
-// tells which servers it showed that leave.
-func (l *listing) follow(now time.Duration, set *backends.Set, from position.Position) (at position.Position, leaving []backends.Server) {
+// syncTo brings a set up to date, by changes within an era and by the complete list
+// otherwise. It returns the leaving servers that the set was shown.
+func (l *serverList) syncTo(now time.Duration, set *backends.Set, from position.Position) (at position.Position, leaving []backends.Server) {
 	shown := l.all()
 	if from.Era != l.at.Era {
 		set.Replace(now, shown, l.at)
@@ -60,32 +60,31 @@
 	return l.at, slices.DeleteFunc(shown, func(s backends.Server) bool { return !s.Leaving })
 }
 
-// TestErasProperty draws what servers write, when the store comes back from a copy, and when
-// an instance reads. A server that was seen to leave gets nothing more in its life; one
-// that goes on writing is never without work for longer than the store needs to be
-// believed again; and once all is quiet what is used is what the store lists.
+// TestErasProperty draws what servers write, when the store is restored from a backup, and
+// when an instance reads. A server that was seen to leave is never used again in the same
+// life, and once all grace periods have expired the set uses what the store lists.
 func TestErasProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		store := &listing{at: position.Position{Era: 1}, servers: map[string]backends.Server{}, history: map[int64]backends.Change{}}
-		copied, copiedAt := map[string]backends.Server{}, int64(0)
+		store := &serverList{at: position.Position{Era: 1}, servers: map[string]backends.Server{}, history: map[int64]backends.Change{}}
+		backup, backupRevision := map[string]backends.Server{}, int64(0)
 		lives := map[string]backends.Life{}
 		set := backends.NewSet()
 		at, now := position.Position{}, time.Duration(0)
-		seenLeaving := map[started]bool{}
-		see := func() {
+		seenLeaving := map[serverLife]bool{}
+		read := func() {
 			var leaving []backends.Server
-			at, leaving = store.follow(now, set, at)
+			at, leaving = store.syncTo(now, set, at)
 			set.Settle(now)
 			for _, s := range leaving {
-				seenLeaving[started{s.ID, s.Life}] = true
+				seenLeaving[serverLife{s.ID, s.Life}] = true
 			}
 			for _, s := range set.Snapshot().Ready("s") {
-				if seenLeaving[started{s.ID, s.Life}] {
-					t.Fatalf("%s, life %d, is used after it left", s.ID, s.Life)
+				if seenLeaving[serverLife{s.ID, s.Life}] {
+					t.Fatalf("%s, life %d, is used after it was seen to leave", s.ID, s.Life)
 				}
 			}
 		}
-		see()
+		read()
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			id := fmt.Sprint("s", rapid.IntRange(0, 4).Draw(t, "server"))
 			switch rapid.SampledFrom([]string{"write", "write", "write", "leave", "end", "copy", "back", "read", "read", "read"}).Draw(t, "step") {
@@ -105,21 +104,21 @@
 					store.change(id, nil)
 				}
 			case "copy":
-				copied, copiedAt = maps.Clone(store.servers), store.at.Revision
+				backup, backupRevision = maps.Clone(store.servers), store.at.Revision
 			case "back":
-				store.servers, store.history = maps.Clone(copied), map[int64]backends.Change{}
-				store.at = position.Position{Era: store.at.Era + 1, Revision: copiedAt}
+				store.servers, store.history = maps.Clone(backup), map[int64]backends.Change{}
+				store.at = position.Position{Era: store.at.Era + 1, Revision: backupRevision}
 			case "read":
-				see()
+				read()
 			}
 			now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
 		}
-		see()
+		read()
 		now += time.Minute
 		set.Settle(now)
 		var want, got []string
 		for _, s := range store.servers {
-			if !s.Leaving && !seenLeaving[started{s.ID, s.Life}] {
+			if !s.Leaving && !seenLeaving[serverLife{s.ID, s.Life}] {
 				want = append(want, s.ID)
 			}
 		}
@@ -128,7 +127,7 @@
 		}
 		slices.Sort(want)
 		if !slices.Equal(want, got) {
-			t.Fatalf("used are %v, the store lists %v", got, want)
+			t.Fatalf("the set uses %v, the store lists %v", got, want)
 		}
 	})
 }
--- a/decide/backends/set.go
+++ b/decide/backends/set.go
@@ -10,39 +10,41 @@
 )
 
 const (
-	// departedFor is how long a server that left is remembered, so that an older
-	// read of the list cannot bring it back. Stale reads are seconds behind.
-	departedFor = 30 * time.Second
-	// rewrittenWithin is the time in which servers write their entries again that the
-	// store lost, as the platform states it; one that is still missing then is gone.
-	rewrittenWithin = 2 * time.Second
-	// lapsesWithin is above the three heartbeats of silence after which the store itself
-	// drops the entry of a server that does not live.
-	lapsesWithin = 5 * time.Second
+	// departureTTL is how long the departure of a server is remembered, so that a stale
+	// read of the list, which may lag by seconds, cannot bring the server back.
+	departureTTL = 30 * time.Second
+	// rewriteTimeout is the time within which servers rewrite entries that the store
+	// lost, as the platform specifies; a server still missing after it is gone.
+	rewriteTimeout = 2 * time.Second
+	// staleEntryTTL exceeds the three missed heartbeats after which the store itself
+	// deletes the entry of a dead server.
+	staleEntryTTL = 5 * time.Second
 )
 
-// Set is the list of servers as its changes arrive.
+// Set is the list of servers, updated by each change as it arrives.
 //
-// When the store comes back from an older copy, its list lacks servers that registered
-// since the copy, and shows again those that left. Neither is taken at its word. A
-// server that is missing stays in use until it has had the time to write again: all work
-// would otherwise go to the few that the copy knows. A server that was seen to end, or to
-// have started again, and that the copy lists in its former life, gets no work until it
-// writes again, or until the store itself would have dropped it: what listens at its
-// address may be the next life, which leaves.
+// A store that is restored from an older backup begins a new era. Its list lacks servers
+// that registered since the backup and includes servers that left since, so the set
+// trusts neither at once. A missing server stays in use until it has had the time to
+// register again; otherwise all load would go to the few servers in the backup. A server
+// that was seen to leave or to restart, and that the backup lists in its earlier life,
+// gets no requests until it writes its entry again or the store would have deleted it:
+// the process at its address may be a later life that is leaving.
 type Set struct {
-	at       position.Position
-	byID     map[string]Server
-	leaving  map[string][]departure
-	gone     map[string]departure
-	kept     map[string]Server
-	doubted  map[string]bool
-	keepTill time.Duration
-	// doubtTill is when doubted entries are believed.
-	doubtTill time.Duration
+	at      position.Position
+	byID    map[string]Server
+	leaving map[string][]departure
+	// departed holds the servers that left the list.
+	departed map[string]departure
+	// retained holds the servers that a new era lacks and that stay in use until retainUntil.
+	retained map[string]Server
+	// presumedStale holds the listed servers that are not used until distrustUntil.
+	presumedStale map[string]bool
+	retainUntil   time.Duration
+	distrustUntil time.Duration
 }
 
-// departure is when a server said that it leaves, or left the list, and in which life.
+// departure is when a server announced that it leaves, or left the list, and in which life.
 type departure struct {
 	at   time.Duration
 	life Life
@@ -51,13 +53,13 @@
 // NewSet returns an empty set.
 func NewSet() *Set {
 	return &Set{
-		byID: map[string]Server{}, leaving: map[string][]departure{}, gone: map[string]departure{},
-		kept: map[string]Server{}, doubted: map[string]bool{},
+		byID: map[string]Server{}, leaving: map[string][]departure{}, departed: map[string]departure{},
+		retained: map[string]Server{}, presumedStale: map[string]bool{},
 	}
 }
 
-// Replace takes over a whole list read at a position. An older list than the
-// one held is ignored.
+// Replace adopts a complete list read at a position. It ignores a list older than the
+// current one.
 func (s *Set) Replace(now time.Duration, servers []Server, at position.Position) bool {
 	if at.Before(s.at) {
 		return false
@@ -74,45 +76,47 @@
 	}
 	for id, v := range before {
 		if _, listed := s.byID[id]; !listed && !newEra {
-			s.gone[id] = departure{now, v.Life}
+			s.departed[id] = departure{now, v.Life}
 		}
 	}
-	s.forget(now)
+	s.expireDepartures(now)
 	return true
 }
 
-// beginEra decides what holds of the list of an earlier era.
+// beginEra decides which servers of the last era to retain, and which entries of the new
+// list to presume stale.
 func (s *Set) beginEra(now time.Duration, servers []Server) {
 	for id, v := range s.byID {
-		if !v.Leaving && !s.doubted[id] {
-			v.kept = true
-			s.kept[id] = v
+		if !v.Leaving && !s.presumedStale[id] {
+			v.unlisted = true
+			s.retained[id] = v
 		}
 	}
-	s.keepTill, s.doubtTill = now+rewrittenWithin, now+lapsesWithin
+	s.retainUntil, s.distrustUntil = now+rewriteTimeout, now+staleEntryTTL
 	for _, v := range servers {
-		d, ended := s.gone[v.ID]
-		ended = ended && now-d.at <= departedFor && (d.life.Same(v.Life) || v.Life < d.life)
-		held, known := s.byID[v.ID]
-		if ended || known && !held.Life.Same(v.Life) && v.Life < held.Life {
-			s.doubted[v.ID] = true
+		d, ended := s.departed[v.ID]
+		ended = ended && now-d.at <= departureTTL && (d.life.Same(v.Life) || v.Life < d.life)
+		previous, known := s.byID[v.ID]
+		if ended || known && !previous.Life.Same(v.Life) && v.Life < previous.Life {
+			s.presumedStale[v.ID] = true
 		}
 	}
 }
 
-func (s *Set) forget(now time.Duration) {
-	old := func(d departure) bool { return now-d.at > departedFor }
+func (s *Set) expireDepartures(now time.Duration) {
+	expired := func(d departure) bool { return now-d.at > departureTTL }
 	for id, list := range s.leaving {
-		if s.leaving[id] = slices.DeleteFunc(list, old); len(s.leaving[id]) == 0 {
+		if s.leaving[id] = slices.DeleteFunc(list, expired); len(s.leaving[id]) == 0 {
 			delete(s.leaving, id)
 		}
 	}
-	maps.DeleteFunc(s.gone, func(_ string, d departure) bool { return old(d) })
+	maps.DeleteFunc(s.departed, func(_ string, d departure) bool { return expired(d) })
 }
 
-// noteLeaving remembers that a life of a server leaves. A life that was not known when it
-// left was this one or an earlier one; it stands for all lives no longer.
-func (s *Set) noteLeaving(now time.Duration, v Server) {
+// recordLeaving records that a life of a server leaves. A known life supersedes a record
+// whose life is unknown, which would match every later life too: it was this life or an
+// earlier one.
+func (s *Set) recordLeaving(now time.Duration, v Server) {
 	if v.Life != 0 {
 		s.leaving[v.ID] = slices.DeleteFunc(s.leaving[v.ID], func(d departure) bool { return d.life == 0 })
 	}
@@ -125,76 +129,75 @@
 	s.leaving[v.ID] = append(s.leaving[v.ID], departure{now, v.Life})
 }
 
-// Apply takes over changes that lead to a position of the same era.
+// Apply adopts changes that lead to a position of the same era.
 func (s *Set) Apply(now time.Duration, changes []Change, at position.Position) bool {
 	if at.Before(s.at) {
 		return false
 	}
 	s.at = at
 	for _, c := range changes {
-		// What changes in this era was written in it.
-		delete(s.doubted, c.ID)
+		// A change in this era was written after the restore.
+		delete(s.presumedStale, c.ID)
 		if c.Server != nil {
 			s.put(now, *c.Server)
 			continue
 		}
-		delete(s.kept, c.ID)
-		s.gone[c.ID] = departure{now, s.byID[c.ID].Life}
+		delete(s.retained, c.ID)
+		s.departed[c.ID] = departure{now, s.byID[c.ID].Life}
 		delete(s.byID, c.ID)
 	}
 	return true
 }
 
-// put keeps a server that once said that it is leaving in that state: a server never
-// returns from it in the same life. Another life of the ID is a new server, whether
-// its clock says earlier or later: lists and changes are taken in the order of the
-// store's positions, so what comes later was written later. An entry that the old life
-// wrote late can take the new one out until its next heartbeat, which costs a second
-// of one server and sends nothing to a server that leaves.
+// put stores an entry. A server that announced that it is leaving never returns in the
+// same life, so it stays leaving. Another life of the ID is a new server, whether its
+// clock says earlier or later: lists and changes arrive in the order of the store's
+// positions, so a later entry was written later. An entry that the old life wrote late
+// can take the new one out of use until its next heartbeat: one server is lost for a
+// second, and a leaving server never gets a request.
 func (s *Set) put(now time.Duration, v Server) {
 	v.Leaving = v.Leaving || slices.ContainsFunc(s.leaving[v.ID], func(d departure) bool { return d.life.Same(v.Life) })
 	if v.Leaving {
-		s.noteLeaving(now, v)
+		s.recordLeaving(now, v)
 	}
-	if v.Leaving || !s.doubted[v.ID] {
-		delete(s.kept, v.ID)
+	if v.Leaving || !s.presumedStale[v.ID] {
+		delete(s.retained, v.ID)
 	}
 	s.byID[v.ID] = v
 }
 
-// Settle ends what holds only for a while after a new era, and reports whether that
+// Settle ends the grace periods of a new era that have expired, and reports whether that
 // changed the set.
 func (s *Set) Settle(now time.Duration) (changed bool) {
-	if len(s.kept) > 0 && now >= s.keepTill {
-		clear(s.kept)
+	if len(s.retained) > 0 && now >= s.retainUntil {
+		clear(s.retained)
 		changed = true
 	}
-	if len(s.doubted) > 0 && now >= s.doubtTill {
-		clear(s.doubted)
+	if len(s.presumedStale) > 0 && now >= s.distrustUntil {
+		clear(s.presumedStale)
 		changed = true
 	}
 	return changed
 }
 
-// Kept counts the servers that are used though they are not listed, Doubted those that
-// are listed and not used.
-func (s *Set) Kept() int { return len(s.kept) }
+// Kept counts the servers that are used although the store does not list them.
+func (s *Set) Kept() int { return len(s.retained) }
 
-// Doubted counts the servers that are listed and not used, because they were seen to
-// leave before the store came back from a copy.
-func (s *Set) Doubted() int { return len(s.doubted) }
+// Doubted counts the servers that are listed but not used, because they were seen to
+// leave or to restart before the store was restored from a backup.
+func (s *Set) Doubted() int { return len(s.presumedStale) }
 
-// Snapshot returns the present set.
+// Snapshot returns an immutable view of the set.
 func (s *Set) Snapshot() *Snapshot {
-	out := &Snapshot{At: s.at, byID: make(map[string]Server, len(s.byID)+len(s.kept)), services: map[string][]Server{}}
+	out := &Snapshot{At: s.at, byID: make(map[string]Server, len(s.byID)+len(s.retained)), services: map[string][]Server{}}
 	for id, v := range s.byID {
 		out.byID[id] = v
 		out.Digest += v.digest()
-		if !v.Leaving && !s.doubted[id] {
+		if !v.Leaving && !s.presumedStale[id] {
 			out.services[v.Service] = append(out.services[v.Service], v)
 		}
 	}
-	for id, v := range s.kept {
+	for id, v := range s.retained {
 		out.byID[id] = v
 		out.services[v.Service] = append(out.services[v.Service], v)
 	}
