--- a/decide/health/pace.go
+++ b/decide/health/pace.go
@@ -2,59 +2,61 @@
 
 import "time"
 
-// Figures of the judgement of a server's pace.
+// Parameters of the detection of slow servers.
 const (
-	// paceEvents is the number of events that are judged together by their
-	// shortest pause: reading for others lengthens some of the pauses of a sound
-	// server, slowness lengthens all.
-	paceEvents = 4
-	// slowFactor is how many times the usual pause the shortest one must be. Slow
-	// servers take 4 to 5 times as long; sound ones stay below 2 in bursts.
+	// gapsPerWindow is the number of gaps that are judged together by their shortest
+	// one: prefill for other requests lengthens some gaps of a healthy server, while a
+	// slow server lengthens all.
+	gapsPerWindow = 4
+	// slowFactor is the multiple of the baseline from which a window is slow. Slow
+	// servers take 4 to 5 times as long; healthy ones stay below 2 in bursts.
 	slowFactor = 3.0
-	// paceKnown is the number of judgements after which the usual pause is known.
-	paceKnown = 20
-	// paceWeight is that of one judgement in the usual pause.
-	paceWeight = 0.05
+	// minWindows is the number of windows after which the baseline is usable.
+	minWindows = 20
+	// baselineWeight is the weight of one window in the moving average of the baseline.
+	baselineWeight = 0.05
 )
 
-// Pace learns how long the pauses between events usually are, in multiples of
-// what the servers should take. The zero value has learned nothing.
+// Pace learns how long the gaps between stream events usually are, in multiples of their
+// expected length. The zero value is ready for use and has no baseline.
 type Pace struct {
-	usual float64
-	seen  int
+	baseline    float64
+	windowCount int
 }
 
-// Run is the pauses of one stream that are being judged together.
+// Run collects the gaps of one stream that are judged together.
 type Run struct {
-	least  float64
-	events int
+	minRatio float64
+	gapCount int
 }
 
-// Observe takes a pause and what it should have been, and reports whether the
-// stream's server is slow.
-func (p *Pace) Observe(r *Run, pause, expected time.Duration) bool {
+// Observe records a gap between two events and its expected length, and reports whether
+// the stream's server is slow.
+func (p *Pace) Observe(r *Run, gap, expected time.Duration) bool {
 	if expected <= 0 {
 		return false
 	}
-	ratio := float64(pause) / float64(expected)
-	if r.events == 0 || ratio < r.least {
-		r.least = ratio
+	ratio := float64(gap) / float64(expected)
+	if r.gapCount == 0 || ratio < r.minRatio {
+		r.minRatio = ratio
 	}
-	if r.events++; r.events < paceEvents {
+	if r.gapCount++; r.gapCount < gapsPerWindow {
 		return false
 	}
-	least := r.least
+	minRatio := r.minRatio
 	*r = Run{}
-	return p.judge(least)
+	return p.evaluate(minRatio)
 }
 
-func (p *Pace) judge(least float64) bool {
-	if p.seen >= paceKnown && least > slowFactor*p.usual {
+// evaluate reports whether a window is slow; the baseline learns only from windows that
+// are not.
+func (p *Pace) evaluate(minRatio float64) bool {
+	if p.windowCount >= minWindows && minRatio > slowFactor*p.baseline {
 		return true
 	}
-	if p.seen++; p.seen == 1 {
-		p.usual = least
+	if p.windowCount++; p.windowCount == 1 {
+		p.baseline = minRatio
 	}
-	p.usual += paceWeight * (least - p.usual)
+	p.baseline += baselineWeight * (minRatio - p.baseline)
 	return false
 }
--- a/decide/health/pace_test.go
+++ b/decide/health/pace_test.go
@@ -10,18 +10,18 @@
 	"github.com/auburnmoor/auburnmoor/decide/health"
 )
 
-var _ = Describe("the pace of a server", func() {
-	const pass = 45 * time.Millisecond
+var _ = Describe("the detection of slow servers", func() {
+	const expected = 45 * time.Millisecond
 	var (
 		pace *health.Pace
 		r    *rand.Rand
 	)
-	// stream plays the pauses of one stream and reports whether it was judged slow.
+	// stream observes the gaps of one stream and reports whether its server was found slow.
 	stream := func(events int, factor float64) (slow bool) {
 		run := &health.Run{}
 		for range events {
-			pause := time.Duration(factor * float64(pass) * (1 + 1.5*r.Float64()))
-			slow = pace.Observe(run, pause, pass) || slow
+			gap := time.Duration(factor * float64(expected) * (1 + 1.5*r.Float64()))
+			slow = pace.Observe(run, gap, expected) || slow
 		}
 		return slow
 	}
@@ -32,37 +32,37 @@
 		}
 	})
 
-	// Drafts stutter at one engine for as long as it is slow: its health check is
-	// good and every answer arrives, only each pause is over the useful one.
-	It("is found within a second of events", func() {
+	// Guards against streams that stutter while an engine is slow: its health check passes
+	// and every answer arrives, but each gap exceeds the target.
+	It("finds a slow server within 12 events", func() {
 		Expect(stream(12, 4.5)).To(BeTrue())
 	})
 
-	It("is not doubted for single long pauses", func() {
+	It("ignores single long gaps", func() {
 		run := &health.Run{}
 		for i := range 60 {
-			pause := pass
+			gap := expected
 			if i%2 != 0 {
-				pause = 20 * pass
+				gap = 20 * expected
 			}
-			Expect(pace.Observe(run, pause, pass)).To(BeFalse())
+			Expect(pace.Observe(run, gap, expected)).To(BeFalse())
 		}
 	})
 
-	It("is measured against that of the others", func() {
+	It("compares with the baseline of all servers", func() {
 		pace = &health.Pace{}
 		for range 20 {
 			Expect(stream(30, 5)).To(BeFalse())
 		}
 	})
 
-	It("is not judged by a few events, or without an expectation", func() {
+	It("needs a full window and an expected gap", func() {
 		Expect(stream(3, 10)).To(BeFalse())
 		Expect(pace.Observe(&health.Run{}, time.Second, 0)).To(BeFalse())
 	})
 })
 
-var _ = Describe("servers that fail a part of their requests", func() {
+var _ = Describe("servers that fail some of their requests", func() {
 	var tr *health.Tracker
 	BeforeEach(func() {
 		tr = health.NewTracker(0.34, rand.New(rand.NewPCG(1, 1)))
@@ -70,9 +70,9 @@
 			tr.Add(n)
 		}
 	})
-	// Two in five lookups fail at one server and its health check is good. There
-	// are never three failures in a row, so it stayed in rotation.
-	It("are taken out for their share", func() {
+	// Guards against keeping a server that fails two in five requests while its health
+	// check passes: it never has three consecutive failures.
+	It("are ejected for their failure rate", func() {
 		for i := range 10 {
 			now := time.Duration(i) * 200 * time.Millisecond
 			tr.Success(now, "b")
@@ -87,8 +87,8 @@
 		Expect(tr.Usable(2*time.Second, "b")).To(BeTrue())
 	})
 
-	// Some requests fail wherever they are sent.
-	It("stay where all fail as often", func() {
+	// Some requests fail at every server.
+	It("stay in rotation if all servers fail as often", func() {
 		for i := range 60 {
 			now := time.Duration(i) * 100 * time.Millisecond
 			for _, n := range []string{"a", "b", "c"} {
@@ -104,18 +104,18 @@
 		}
 	})
 
-	It("come back in steps", func() {
+	It("return with a rising concurrency limit", func() {
 		for range 3 {
 			tr.Failure(0, "a")
 		}
 		now := 20 * time.Second
-		for _, atOnce := range []int{1, 4} {
-			for range atOnce {
+		for _, limit := range []int{1, 4} {
+			for range limit {
 				Expect(tr.Usable(now, "a")).To(BeTrue())
 				tr.Begin(now, "a")
 			}
-			Expect(tr.Usable(now, "a")).To(BeFalse(), "more than %d at once", atOnce)
-			for range atOnce - 1 {
+			Expect(tr.Usable(now, "a")).To(BeFalse(), "more than %d concurrent requests", limit)
+			for range limit - 1 {
 				tr.Abandon("a")
 			}
 			tr.Success(now, "a")
@@ -126,7 +126,7 @@
 		Expect(tr.Usable(now, "a")).To(BeTrue())
 	})
 
-	It("go out again at the first failure on their return", func() {
+	It("are ejected again at the first failure while they return", func() {
 		for range 3 {
 			tr.Failure(0, "a")
 		}
--- a/decide/health/tracker.go
+++ b/decide/health/tracker.go
@@ -1,7 +1,7 @@
-// Package health takes failing backend servers out of rotation and probes them
-// back in. It bounds how many may be out at once: a fault of the network or of
-// an entry instance looks like a failure of every backend server, and ejecting
-// them all would turn it into an outage.
+// Package health ejects failing backend servers from rotation and readmits them after
+// successful probes. It bounds the share of servers that are ejected at once: a fault of
+// the network or of an entry instance looks like a failure of every backend server, and
+// ejecting them all would turn it into an outage.
 package health
 
 import (
@@ -12,101 +12,102 @@
 	"github.com/auburnmoor/auburnmoor/decide/retry"
 )
 
-// Bounds of an ejection.
+// Threshold and duration of ejections.
 const (
-	failuresToEject = 3
-	firstEjection   = 5 * time.Second
-	longestEjection = time.Minute
+	consecutiveFailures = 3
+	baseEjection        = 5 * time.Second
+	maxEjection         = time.Minute
 )
 
-// A server that fails a part of its requests is told from one that fails all by
-// its share of failures over the last seconds.
+// A server that fails only some of its requests is detected by its recent failure rate.
+// After an ejection its concurrency limit ramps up.
 const (
-	// shareMemory is the time over which results are forgotten. Faults of a part
-	// last some seconds.
-	shareMemory = 8 * time.Second
-	// leastFailures within that time are needed, so that two unlucky requests do
-	// not take a server out.
-	leastFailures = 3.0
-	// shareToEject is the least share of failures, and timesOthers how many times
-	// that of the other servers it must be: some requests fail at every server.
-	shareToEject = 0.25
-	timesOthers  = 3.0
-	// stepBack is how many times as many requests at once a server may get after
-	// each success on its return, and fullyBack the number from which it is no
-	// longer limited. The limit begins at one. With steps of two, engines went in
-	// and out of the group of writers with each request: mean worth of the
-	// standard days 0.737 against 0.746 with a single probe.
-	stepBack  = 4
-	fullyBack = 8
+	// resultDecay is the time constant of the exponential decay of results. Partial
+	// faults last some seconds.
+	resultDecay = 8 * time.Second
+	// minFailures is the decayed number of failures needed to eject a server, so that
+	// two unlucky requests do not suffice.
+	minFailures = 3.0
+	// minFailureRate is the lowest failure rate that ejects a server, and minRateRatio
+	// its lowest ratio to that of the other servers: some requests fail at every server.
+	minFailureRate = 0.25
+	minRateRatio   = 3.0
+	// rampFactor multiplies the concurrency limit, which begins at one, after each
+	// success; a limit above maxRampLimit is lifted. A factor of two moved engines in
+	// and out of the decoding group with each request: requests of the standard load
+	// were worth 0.737 on average, against 0.746 with a single probe.
+	rampFactor   = 4
+	maxRampLimit = 8
 )
 
-// results are decayed numbers of requests.
+// results are exponentially decayed counts of requests.
 type results struct {
 	good, bad float64
 	at        time.Duration
 }
 
 func (r *results) decay(now time.Duration) {
-	keep := math.Exp(-float64(now-r.at) / float64(shareMemory))
-	r.good, r.bad, r.at = r.good*keep, r.bad*keep, now
+	factor := math.Exp(-float64(now-r.at) / float64(resultDecay))
+	r.good, r.bad, r.at = r.good*factor, r.bad*factor, now
 }
 
 type server struct {
-	failures  int
-	ejections int
-	until     time.Duration
-	out       bool
-	// limit bounds the requests at once after an ejection; zero does not.
+	// failures counts consecutive ones, ejections those since the last full recovery.
+	failures     int
+	ejections    int
+	ejectedUntil time.Duration
+	isEjected    bool
+	// limit bounds the concurrent requests after an ejection; zero means no limit. Only
+	// requests under a limit are counted as running.
 	limit, running int
 	recent         results
 }
 
-// Tracker follows the health of one set of backend servers.
+// Tracker tracks the health of one set of backend servers.
 type Tracker struct {
-	maxShare float64
-	rand     *rand.Rand
-	servers  map[string]*server
-	ejected  uint64
+	maxShare       float64
+	rand           *rand.Rand
+	servers        map[string]*server
+	totalEjections uint64
 }
 
-// NewTracker returns a tracker that ejects at most maxShare of its servers,
-// but always allows one.
+// NewTracker returns a tracker that ejects at most the share maxShare of its servers, but
+// always allows one ejection.
 func NewTracker(maxShare float64, r *rand.Rand) *Tracker {
 	return &Tracker{maxShare: maxShare, rand: r, servers: map[string]*server{}}
 }
 
-// SetMaxShare replaces the bound on ejections; servers that are out stay out.
+// SetMaxShare replaces the bound on ejections; ejected servers stay ejected.
 func (t *Tracker) SetMaxShare(share float64) { t.maxShare = share }
 
-// Add makes the tracker aware of a server.
+// Add starts to track a server, unless it is tracked already.
 func (t *Tracker) Add(name string) {
 	if t.servers[name] == nil {
 		t.servers[name] = &server{}
 	}
 }
 
-// Remove forgets a server.
+// Remove stops tracking a server.
 func (t *Tracker) Remove(name string) { delete(t.servers, name) }
 
-// Usable reports whether name may get work. After its ejection a server gets
-// one probe at a time; each success multiplies what it may get at once.
+// Usable reports whether name may get a request. When its ejection ends, a server gets a
+// single probe; each success raises its concurrency limit.
 func (t *Tracker) Usable(now time.Duration, name string) bool {
 	s := t.servers[name]
 	if s == nil || s.limit == 0 {
 		return true
 	}
-	return now >= s.until && s.running < s.limit
+	return now >= s.ejectedUntil && s.running < s.limit
 }
 
-// Begin notes that a request goes to name. Success, Failure or Abandon ends it.
+// Begin records that a request is sent to name. Success, Failure, Fault or Abandon ends it.
 func (t *Tracker) Begin(now time.Duration, name string) {
-	if s := t.servers[name]; s != nil && s.limit > 0 && now >= s.until {
+	if s := t.servers[name]; s != nil && s.limit > 0 && now >= s.ejectedUntil {
 		s.running++
 	}
 }
 
-// Success notes a good answer at a time and readmits the server by a step.
+// Success records a successful request and raises the concurrency limit of a returning server.
 func (t *Tracker) Success(now time.Duration, name string) {
 	s := t.servers[name]
 	if s == nil {
@@ -117,17 +118,16 @@
 	s.recent.decay(now)
 	s.recent.good++
 	if s.limit > 0 && !probe {
-		// An answer to a request from before the ejection says nothing of the
-		// server's return.
+		// The request was sent before the ejection, so its success is no probe result.
 		return
 	}
-	s.failures, s.out = 0, false
-	if s.limit *= stepBack; s.limit > fullyBack {
+	s.failures, s.isEjected = 0, false
+	if s.limit *= rampFactor; s.limit > maxRampLimit {
 		s.limit, s.ejections = 0, 0
 	}
 }
 
-// Abandon ends a request without a verdict.
+// Abandon ends a request whose result says nothing about the server's health.
 func (t *Tracker) Abandon(name string) {
 	if s := t.servers[name]; s != nil {
 		t.end(s)
@@ -136,8 +136,8 @@
 
 func (t *Tracker) end(s *server) { s.running = max(0, s.running-1) }
 
-// Failure counts against the server, and ejects it after some in a row or for
-// its share.
+// Failure records a failed request. It ejects the server after several consecutive
+// failures, after one while the server is returning, or for its failure rate.
 func (t *Tracker) Failure(now time.Duration, name string) {
 	t.Add(name)
 	s := t.servers[name]
@@ -146,36 +146,37 @@
 	s.failures++
 	s.recent.decay(now)
 	s.recent.bad++
-	if s.failures < failuresToEject && !returning && !t.tooOften(now, name) {
+	if s.failures < consecutiveFailures && !returning && !t.failureRateHigh(now, name) {
 		return
 	}
 	t.eject(now, s)
 }
 
-// Fault notes a failure that the server itself reported. It counts in its share
-// only: a request may be one that fails at every server.
+// Fault records a failure that the server itself reported. It counts in the failure rate
+// only, since the request may be one that fails at every server.
 func (t *Tracker) Fault(now time.Duration, name string) {
 	t.Add(name)
 	s := t.servers[name]
 	t.end(s)
 	s.recent.decay(now)
 	s.recent.bad++
-	if t.tooOften(now, name) {
+	if t.failureRateHigh(now, name) {
 		t.eject(now, s)
 	}
 }
 
-// Slow ejects a server that answers much later than it should.
+// Slow ejects a server that answers much more slowly than expected.
 func (t *Tracker) Slow(now time.Duration, name string) {
 	if s := t.servers[name]; s != nil {
 		t.eject(now, s)
 	}
 }
 
-// tooOften reports whether a server fails much more often than the others.
-func (t *Tracker) tooOften(now time.Duration, name string) bool {
+// failureRateHigh reports whether the failure rate of a server is high, both absolutely and
+// relative to the others.
+func (t *Tracker) failureRateHigh(now time.Duration, name string) bool {
 	s := t.servers[name]
-	if s.recent.bad < leastFailures {
+	if s.recent.bad < minFailures {
 		return false
 	}
 	var others results
@@ -185,33 +186,34 @@
 			others.good, others.bad = others.good+o.recent.good, others.bad+o.recent.bad
 		}
 	}
-	share := s.recent.bad / (s.recent.good + s.recent.bad)
-	usual := others.bad / max(1, others.good+others.bad)
-	return share >= shareToEject && share >= timesOthers*usual
+	rate := s.recent.bad / (s.recent.good + s.recent.bad)
+	othersRate := others.bad / max(1, others.good+others.bad)
+	return rate >= minFailureRate && rate >= minRateRatio*othersRate
 }
 
 func (t *Tracker) eject(now time.Duration, s *server) {
-	if !s.out && !t.room() {
+	if !s.isEjected && !t.mayEject() {
 		return
 	}
-	s.out, s.limit, s.recent = true, 1, results{at: now}
-	s.until = now + retry.Backoff(t.rand, firstEjection, longestEjection, s.ejections)
+	s.isEjected, s.limit, s.recent = true, 1, results{at: now}
+	s.ejectedUntil = now + retry.Backoff(t.rand, baseEjection, maxEjection, s.ejections)
 	s.ejections++
-	t.ejected++
+	t.totalEjections++
 }
 
-// Out counts the servers out of rotation.
+// Out counts the servers that are ejected and have not answered a probe yet.
 func (t *Tracker) Out() int {
 	n := 0
 	for _, s := range t.servers {
-		if s.out {
+		if s.isEjected {
 			n++
 		}
 	}
 	return n
 }
 
-func (t *Tracker) room() bool {
+// mayEject reports whether the bound allows another ejection.
+func (t *Tracker) mayEject() bool {
 	allowed := max(1, int(t.maxShare*float64(len(t.servers))))
 	return t.Out() < allowed
 }
--- a/decide/health/tracker_test.go
+++ b/decide/health/tracker_test.go
@@ -30,17 +30,17 @@
 		}
 	}
 
-	It("takes a failing server out, probes it once and takes it back", func() {
+	It("ejects a failing server, probes it once and readmits it", func() {
 		fail(0, "a", 3)
 		Expect(tr.Usable(time.Second, "a")).To(BeFalse())
 		Expect(tr.Usable(6*time.Second, "a")).To(BeTrue())
 		tr.Begin(6*time.Second, "a")
-		Expect(tr.Usable(6*time.Second, "a")).To(BeFalse(), "a second probe at once")
+		Expect(tr.Usable(6*time.Second, "a")).To(BeFalse(), "a second concurrent probe")
 		tr.Success(6*time.Second, "a")
 		Expect(tr.Usable(6*time.Second, "a")).To(BeTrue())
 	})
 
-	It("waits longer after each failed probe", func() {
+	It("lasts longer after each failed probe", func() {
 		fail(0, "a", 3)
 		tr.Begin(6*time.Second, "a")
 		tr.Failure(6*time.Second, "a")
@@ -48,9 +48,9 @@
 		Expect(tr.Usable(17*time.Second, "a")).To(BeTrue())
 	})
 
-	// All backend servers vanish from rotation for a minute: the entry's own
-	// network failed for a moment, which looks like a failure of each of them.
-	It("never takes out more than its share", func() {
+	// Guards against ejecting all backend servers for a minute when the network of the
+	// entry instance fails for a moment, which looks like a failure of each of them.
+	It("never exceeds its share of servers", func() {
 		for _, n := range []string{"a", "b", "c", "d"} {
 			fail(0, n, 5)
 		}
