--- a/decide/balance/pool.go
+++ b/decide/balance/pool.go
@@ -1,5 +1,5 @@
-// Package balance picks a backend server for calls to plain services. It does
-// no I/O and reads no clock.
+// Package balance selects a backend server for calls to plain services, by the power of
+// two random choices. It does no I/O and reads no clock.
 package balance
 
 import (
@@ -17,8 +17,7 @@
 	Addr string
 }
 
-// Pool is the backend servers of one service. It is not safe for concurrent
-// use.
+// Pool holds the backend servers of one service. It is not safe for concurrent use.
 type Pool struct {
 	servers     []Server
 	outstanding map[string]int
@@ -35,14 +34,13 @@
 	}
 }
 
-// SetLimits takes over the limits of a new configuration.
+// SetLimits applies the limits of a new configuration.
 func (p *Pool) SetLimits(retryShare, ejectShare float64) {
 	p.budget.SetShare(retryShare)
 	p.health.SetMaxShare(ejectShare)
 }
 
-// SetServers replaces the servers that may get new calls; leaving ones must
-// not be among them.
+// SetServers replaces the servers that may get new calls, which excludes leaving ones.
 func (p *Pool) SetServers(servers []Server) {
 	for _, old := range p.servers {
 		if !slices.ContainsFunc(servers, func(s Server) bool { return s.Name == old.Name }) {
@@ -55,8 +53,8 @@
 	p.servers = servers
 }
 
-// Pick chooses between two random usable servers the one with fewer calls
-// outstanding, and counts the call. It passes over the servers already tried.
+// Pick chooses between two random usable servers the one with fewer outstanding calls,
+// and counts the call. It skips the servers already tried.
 func (p *Pool) Pick(now time.Duration, tried []string) (Server, bool) {
 	var usable []Server
 	for _, s := range p.servers {
@@ -76,18 +74,18 @@
 	return a, true
 }
 
-// Verdict is what a finished call says of its server.
+// Verdict is what the end of a call says about its server's health.
 type Verdict int
 
-// The verdicts. A call that its caller gave up says nothing: counting it as a
-// failure would let impatient callers eject a healthy server.
+// The verdicts. A call cancelled by its caller says nothing: counting it as a failure
+// would let callers with short timeouts eject a healthy server.
 const (
 	Succeeded Verdict = iota
 	Failed
 	GivenUp
 )
 
-// Done ends a call that Pick counted.
+// Done records the end of a call that Pick counted.
 func (p *Pool) Done(now time.Duration, name string, v Verdict) {
 	if p.outstanding[name]--; p.outstanding[name] <= 0 {
 		delete(p.outstanding, name)
@@ -103,10 +101,10 @@
 	}
 }
 
-// MayRetry spends one retry of the budget.
+// MayRetry takes one retry from the budget, and reports whether there was one.
 func (p *Pool) MayRetry() bool { return p.budget.Take() }
 
-// Dump is the state of a pool.
+// Dump is the state of a pool as shown in the state dump.
 type Dump struct {
 	Servers       []string       `json:"servers"`
 	Outstanding   map[string]int `json:"outstanding"`
@@ -114,7 +112,7 @@
 	RetriesDenied uint64         `json:"retries_denied"`
 }
 
-// Dump describes the pool.
+// Dump returns the state of the pool.
 func (p *Pool) Dump() Dump {
 	d := Dump{Outstanding: map[string]int{}, Ejected: p.health.Out(), RetriesDenied: p.budget.Denied()}
 	for _, s := range p.servers {
--- a/decide/balance/pool_test.go
+++ b/decide/balance/pool_test.go
@@ -22,7 +22,7 @@
 		p.SetServers([]balance.Server{{Name: "a"}, {Name: "b"}})
 	})
 
-	It("prefers the server with fewer calls outstanding", func() {
+	It("prefers the server with fewer outstanding calls", func() {
 		count := map[string]int{}
 		for range 100 {
 			s, ok := p.Pick(0, nil)
@@ -32,7 +32,7 @@
 		Expect(count["a"]).To(BeNumerically("~", 50, 10))
 	})
 
-	It("never picks a server that was tried or that left", func() {
+	It("never picks a server that was tried or removed", func() {
 		s, _ := p.Pick(0, []string{"a"})
 		Expect(s.Name).To(Equal("b"))
 		_, ok := p.Pick(0, []string{"a", "b"})
@@ -44,9 +44,9 @@
 		}
 	})
 
-	// An operator forbids retries during an incident, the change is accepted, and
-	// retries go on: limits were read only when a service was first seen.
-	It("puts new limits into force", func() {
+	// Guards against retries that go on after an operator disabled them: limits were read
+	// only when a service was first seen.
+	It("applies new limits", func() {
 		p.SetLimits(0, 0.5)
 		for range 50 {
 			p.MayRetry()
@@ -56,9 +56,9 @@
 		Expect(p.MayRetry()).To(BeFalse())
 	})
 
-	// A healthy service answers 503: callers with short time limits hung up three
-	// times, which was counted against the server that was still working.
-	It("does not eject a server whose callers gave up", func() {
+	// Guards against 503 responses of a healthy service: callers with short timeouts hung up
+	// three times, which counted as failures of the server.
+	It("does not eject a server whose callers cancelled", func() {
 		for range 10 {
 			s, _ := p.Pick(0, []string{"b"})
 			p.Done(0, s.Name, balance.GivenUp)
--- a/decide/route/route.go
+++ b/decide/route/route.go
@@ -1,6 +1,6 @@
-// Package route holds one version of the operators' configuration and answers
-// which route, service and customer a request belongs to. A table never changes
-// once it is built, so any number of goroutines may read it.
+// Package route holds one version of the operators' configuration and looks up the route,
+// service and customer of a request. A Table is immutable, so any number of goroutines may
+// read it.
 package route
 
 import (
@@ -10,20 +10,20 @@
 	"time"
 )
 
-// Kind tells what may be repeated.
+// Kind classifies requests by whether they may be retried and how they are answered.
 type Kind int
 
-// The kinds of request.
+// The kinds of requests.
 const (
-	// Idempotent requests may run more than once.
+	// Idempotent requests may be executed more than once.
 	Idempotent Kind = iota
-	// Once requests run at most once for each client attempt.
+	// Once requests are executed at most once per client attempt.
 	Once
-	// Stream requests are answered by a series of numbered events.
+	// Stream requests are answered by a sequence of numbered events.
 	Stream
 )
 
-// String returns the name used in logs.
+// String returns the name of the kind in logs and metrics.
 func (k Kind) String() string {
 	switch k {
 	case Idempotent:
@@ -37,14 +37,14 @@
 	}
 }
 
-// Share is the part of a route's requests that a service gets.
+// Share is the weight of a service among those that a route's requests are split over.
 type Share struct {
 	Service string
 	// Weight is relative to the weights of the route's other shares.
 	Weight int
 }
 
-// Route is what the operators say of the requests under one prefix.
+// Route is the configuration of the requests to one host under one path prefix.
 type Route struct {
 	Name string
 	Host string
@@ -53,29 +53,30 @@
 	Kind   Kind
 	// Shares has at least one entry.
 	Shares []Share
-	// Timeout is the longest time that a request may be kept waiting.
+	// Timeout bounds the time that a request may wait for its answer.
 	Timeout time.Duration
-	// FirstTarget is the time within which the first event of a stream, or the
-	// whole of another answer, is fully useful.
+	// FirstTarget is the latency up to which the first event of a stream, or any other
+	// complete answer, has its full value to the caller.
 	FirstTarget time.Duration
-	// GapTarget is the longest useful pause between two events of a stream.
+	// GapTarget is the longest gap between two events of a stream at which they keep
+	// their full value.
 	GapTarget time.Duration
-	// Rank orders routes by urgency; 0 is the most urgent.
+	// Rank is the priority of the route; 0 is the most urgent.
 	Rank int
-	// MaxAttempts bounds the backend servers that one client attempt is sent to.
+	// MaxAttempts bounds how many times one client attempt is sent to a backend server.
 	MaxAttempts int
-	// Public routes take requests without a key.
+	// Public routes accept requests without an API key.
 	Public bool
-	// Resumable streams may be continued by another backend server.
+	// Resumable streams may be resumed on another backend server.
 	Resumable bool
 }
 
-// Repeatable reports whether a request whose fate is unknown may be sent again.
+// Repeatable reports whether a request whose outcome is unknown may be sent again.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Pick draws a service by weight.
+// Pick chooses a random service by weight.
 func (r *Route) Pick(rnd *rand.Rand) string {
 	total := 0
 	for _, s := range r.Shares {
@@ -93,42 +94,42 @@
 	return r.Shares[0].Service
 }
 
-// Engine describes how the model engines of a service compute.
+// Engine is the performance model of a service's engines.
 type Engine struct {
-	// Slots is the number of requests that an engine runs at once.
+	// Slots is the number of requests that an engine runs concurrently.
 	Slots int
-	// Memory is the KV cache of an engine in tokens.
+	// Memory is the capacity of an engine's KV cache in tokens.
 	Memory int64
-	// Step is the base time of a token step.
+	// Step is the base duration of a decode step.
 	Step time.Duration
-	// StepPerWriter is added to a step for each request that is writing.
+	// StepPerWriter is added to a step for each decoding request.
 	StepPerWriter time.Duration
-	// StepPerThousand is added to a step for every 1,000 tokens of context.
+	// StepPerThousand is added to a step per 1,000 tokens of context.
 	StepPerThousand time.Duration
-	// ReadPerSecond is the speed of reading prompts in tokens.
+	// ReadPerSecond is the prefill speed in prompt tokens per second.
 	ReadPerSecond float64
-	// PairsPerMillion is the time that a million pairs of a token and an
-	// earlier token add to reading.
+	// PairsPerMillion is the attention cost of prefill: the time added per million pairs
+	// of a token and an earlier one.
 	PairsPerMillion time.Duration
-	// Chunk is the most prompt tokens read in a step.
+	// Chunk is the maximum number of prompt tokens prefilled in a step.
 	Chunk int64
-	// Stride is the number of steps of a pass that includes writers.
+	// Stride is the number of steps in a pass with decoding requests.
 	Stride int
-	// UsualAnswer is the mean number of tokens of an answer.
+	// UsualAnswer is the mean number of tokens in an answer.
 	UsualAnswer int64
 }
 
-// Service is a group of backend servers with the same task.
+// Service is a group of interchangeable backend servers.
 type Service struct {
 	Name string
 	// Engine is nil for a plain service.
 	Engine *Engine
-	// TightestPause is the shortest GapTarget of the streams that may be sent to
-	// the service; zero if there are none. NewTable sets it.
+	// TightestPause is the shortest GapTarget of the stream routes to the service; zero
+	// if there are none. NewTable sets it.
 	TightestPause time.Duration
 }
 
-// Customer is an organization whose requests carry one of its keys.
+// Customer is an organization whose requests carry one of its API keys.
 type Customer struct {
 	Name string
 	Keys []string
@@ -137,9 +138,9 @@
 	HasRank bool
 }
 
-// Config is the content of one version.
+// Config is the content of one version of the configuration.
 type Config struct {
-	// Version rises with every change, in uneven steps.
+	// Version increases with every change, not always by one.
 	Version   uint64
 	Routes    []Route
 	Services  []Service
@@ -147,16 +148,15 @@
 	Limits    Limits
 }
 
-// Limits bound what clients may send and how long they may take. A zero value
-// sets no bound.
+// Limits bounds the size and the duration of client requests. A zero field sets no bound.
 type Limits struct {
 	HeaderBytes, BodyBytes int
-	// HeaderTimeout is the time for the headers of a request, IdleTimeout that
-	// between two requests on a connection.
+	// HeaderTimeout bounds the time to receive the headers of a request, IdleTimeout the
+	// time between two requests on a connection.
 	HeaderTimeout, IdleTimeout time.Duration
 }
 
-// Table answers questions about one version.
+// Table is an index of one version of the configuration.
 type Table struct {
 	Config
 	byHost   map[string]map[string]*Route
@@ -164,7 +164,7 @@
 	byKey    map[string]*Customer
 }
 
-// NewTable indexes a version.
+// NewTable builds the table of a version.
 func NewTable(c Config) *Table {
 	t := &Table{Config: c, byHost: map[string]map[string]*Route{}, services: map[string]*Service{}, byKey: map[string]*Customer{}}
 	for i := range t.Routes {
@@ -179,7 +179,7 @@
 		t.services[t.Services[i].Name] = &t.Services[i]
 	}
 	for i := range t.Routes {
-		t.tighten(&t.Routes[i])
+		t.updateMinGapTarget(&t.Routes[i])
 	}
 	for i := range t.Customers {
 		for _, k := range t.Customers[i].Keys {
@@ -189,8 +189,8 @@
 	return t
 }
 
-// tighten notes the pause that a route allows at its services.
-func (t *Table) tighten(r *Route) {
+// updateMinGapTarget applies the gap target of a stream route to its services.
+func (t *Table) updateMinGapTarget(r *Route) {
 	if r.Kind != Stream || r.GapTarget <= 0 {
 		return
 	}
@@ -202,8 +202,8 @@
 	}
 }
 
-// Lookup returns the route with the longest prefix of path. The cost depends
-// on the depth of the path only, not on the number of routes.
+// Lookup returns the route with the longest matching prefix of path. Its cost depends on
+// the depth of the path, not on the number of routes.
 func (t *Table) Lookup(host, path string) (*Route, bool) {
 	prefixes := t.byHost[host]
 	if prefixes == nil {
@@ -228,7 +228,7 @@
 	return s, ok
 }
 
-// Customer returns the customer that holds a key.
+// Customer returns the customer that owns an API key.
 func (t *Table) Customer(key string) (*Customer, bool) {
 	c, ok := t.byKey[key]
 	return c, ok
--- a/decide/route/route_test.go
+++ b/decide/route/route_test.go
@@ -32,17 +32,17 @@
 		Expect(ok).To(BeTrue())
 		Expect(r.Name).To(Equal(want))
 	},
-		Entry("longer of two", "a.example", "/x/y/1", "inner"),
+		Entry("longer of two prefixes", "a.example", "/x/y/1", "inner"),
 		Entry("the prefix itself", "a.example", "/x/y/", "inner"),
-		Entry("shorter of two", "a.example", "/x/z", "outer"),
+		Entry("shorter of two prefixes", "a.example", "/x/z", "outer"),
 		Entry("a prefix ends at a slash", "a.example", "/x/yy/1", "outer"),
-		Entry("no prefix", "a.example", "/z/1", ""),
-		Entry("root", "b.example", "/anything/at/all", "root"),
-		Entry("other host", "c.example", "/x/1", ""),
-		Entry("no slash", "a.example", "x", ""),
+		Entry("no matching prefix", "a.example", "/z/1", ""),
+		Entry("root prefix", "b.example", "/anything/at/all", "root"),
+		Entry("another host", "c.example", "/x/1", ""),
+		Entry("a path without a slash", "a.example", "x", ""),
 	)
 
-	It("divides requests by weight", func() {
+	It("splits requests by weight", func() {
 		r, _ := table.Lookup("a.example", "/x/y/1")
 		rnd, n := rand.New(rand.NewPCG(1, 1)), map[string]int{}
 		for range 1000 {
@@ -51,7 +51,7 @@
 		Expect(n["t"]).To(BeNumerically("~", 100, 40))
 	})
 
-	It("knows customers by their keys", func() {
+	It("looks up customers by their API keys", func() {
 		c, ok := table.Customer("k2")
 		Expect(ok).To(BeTrue())
 		Expect(c.Name).To(Equal("school"))
