--- a/decide/route/route.go
+++ b/decide/route/route.go
@@ -58,8 +58,8 @@
 	// FirstTarget is the latency up to which the first event of a stream, or any other
 	// complete answer, has its full value to the caller.
 	FirstTarget time.Duration
-	// GapTarget is the longest gap between two events of a stream at which they keep
-	// their full value.
+	// GapTarget is the longest gap between two events of a stream that does not reduce
+	// their value to the caller.
 	GapTarget time.Duration
 	// Rank is the priority of the route; 0 is the most urgent.
 	Rank int
