--- /dev/null
+++ b/decide/spread/distributed.go
@@ -0,0 +1,91 @@
+package spread
+
+import (
+	"cmp"
+	"slices"
+
+	"github.com/auburnmoor/auburnmoor/decide/backends"
+)
+
+// placeDistributed places a prompt that fits in no single engine: the engine with the most
+// free memory decodes and holds what it can, helpers reserve memory for the rest.
+//
+// The prefill occupies all engines for a second or two, so it must bring the first event
+// in time and cost the answers in progress less than the prompt is worth. It does not also
+// wait for idle engines: then most of these prompts were refused during bursts, and 0.85
+// instead of 0.90 of the value of all requests was kept.
+func (c *chooser) placeDistributed(servers []backends.Server) (Plan, Verdict) {
+	all := slices.Clone(servers)
+	if len(all) == 0 {
+		return Plan{}, NoServer
+	}
+	if c.neededMemory() > c.maxPromptMemory() {
+		return Plan{}, TooLarge
+	}
+	slices.SortFunc(all, func(a, b backends.Server) int {
+		return cmp.Or(cmp.Compare(c.freeMemory(b), c.freeMemory(a)), cmp.Compare(a.ID, b.ID))
+	})
+	refused := Plan{Backlog: Backlog(all, c.load), MostRoom: c.freeMemory(all[0])}
+	left := c.neededMemory()
+	var holders []backends.Server
+	for _, s := range all {
+		if left <= 0 || c.freeMemory(s) < minReserve {
+			break
+		}
+		holders = append(holders, s)
+		left -= c.freeMemory(s)
+	}
+	if left > 0 || len(holders) < 2 || len(holders) > maxHelpers {
+		return c.holdOrReject(refused, ForMemory)
+	}
+	p := c.planDistributed(holders, servers)
+	if c.planHarm(p) > value(c.req.Prompt) {
+		return c.holdOrReject(refused, ForHarm)
+	}
+	if c.req.Useful > 0 && c.req.Waited+p.FirstEvent > c.req.Useful {
+		return c.holdOrReject(refused, ForTime)
+	}
+	return p, Placed
+}
+
+// holdOrReject holds back a prompt for which there is no room, as long as its first event
+// could still come in time from idle engines, and then rejects it so that the client can
+// retry. When such prompts were held until the client gave up, most were refused after 9 s
+// or answered late, and delayed all other requests.
+func (c *chooser) holdOrReject(p Plan, why Reason) (Plan, Verdict) {
+	p.Reason = why
+	if c.req.Waited < c.req.Patience && !c.late() {
+		return p, Hold
+	}
+	return p, NoRoom
+}
+
+// maxPromptMemory is the largest prompt that the servers of the service can hold together.
+// It includes servers that this request avoids and those out of rotation: a prompt too
+// large only for the remaining ones is rejected for now, not for good.
+func (c *chooser) maxPromptMemory() int64 {
+	return usable(c.engine) * int64(min(c.req.Fleet, maxHelpers+1))
+}
+
+// minReserve is the least memory in tokens worth reserving on an engine.
+const minReserve = 16_000
+
+// planDistributed plans a prompt whose memory is divided evenly between holders, each up
+// to its free memory. Other servers may help with the prefill.
+func (c *chooser) planDistributed(holders, servers []backends.Server) Plan {
+	helpers := c.cheapestGroup(servers, holders[0]).helpers
+	helpers = slices.DeleteFunc(helpers, func(s backends.Server) bool {
+		return slices.ContainsFunc(holders, func(h backends.Server) bool { return h.ID == s.ID })
+	})
+	helpers = slices.Concat(holders[1:], helpers)
+	p := c.plan(holders[0], helpers[:min(len(helpers), maxHelpers)])
+	left := c.req.Prompt
+	for i := len(holders) - 1; i > 0; i-- {
+		even := (left + int64(i)) / int64(i+1)
+		share := min(even, c.freeMemory(holders[i]))
+		p.Parts[i].Reserve, p.Parts[i].Load.HeldTokens = share, share
+		left -= share
+	}
+	p.Parts[0].Load.HeldTokens = left + c.req.Answer
+	return p
+}
--- a/decide/spread/group.go
+++ b/decide/spread/group.go
@@ -9,10 +9,10 @@
 	"github.com/auburnmoor/auburnmoor/decide/backends"
 )
 
-// The value of an answer, for weighing a prompt against what it delays. Callers'
-// objectives say what in time is, not what it is worth; so a longer prompt is
-// taken to be worth more, but less than in proportion to its length, and an
-// answer that is late a part of one in time. Values have no unit.
+// The value of an answer weighs a prompt against the answers that it delays. Callers'
+// objectives define when an answer is in time, not its worth, so the value grows with the
+// length of the prompt, less than proportionally, and a late answer has a fraction of it.
+// Values have no unit.
 const (
 	valueExponent = 0.75
 	lateValue     = 0.25
@@ -20,35 +20,35 @@
 
 func value(tokens int64) float64 { return math.Pow(float64(max(1, tokens)), valueExponent) }
 
-// group is a choice of engines for a prompt.
+// group is a choice of helpers for a prompt, with its predicted effects.
 type group struct {
 	helpers []backends.Server
-	// first is the predicted time to the first event, harm the value that answers
-	// in progress lose.
+	// first is the predicted time to the first event, harm the value that answers in
+	// progress lose.
 	first time.Duration
 	harm  float64
 }
 
-// cost is what a group costs in value: what others lose, and what the prompt
-// itself loses if it comes late.
+// cost is the value lost by choosing a group: by answers in progress, and by the prompt
+// itself the later its first event comes.
 func (c *chooser) cost(g group) float64 {
-	own := value(c.req.Prompt)
+	promptValue := value(c.req.Prompt)
 	if c.req.Useful <= 0 {
-		return g.harm + own*g.first.Seconds()
+		return g.harm + promptValue*g.first.Seconds()
 	}
 	took := float64(c.req.Waited+g.first) / float64(c.req.Useful)
-	cost := g.harm + own*slowness*took
+	cost := g.harm + promptValue*latencyPenalty*took
 	if took > 1 {
-		cost += own * (1 - lateValue)
+		cost += promptValue * (1 - lateValue)
 	}
 	return cost
 }
 
-// tooDear reports whether a deep prompt is to wait because answers in progress
-// would lose more than it is worth. While its lateness counted as a cost of the
-// prompt itself, one that was late already waited until its caller had no patience
-// left, and was sent when its answer could not be whole in time any more.
-func (c *chooser) tooDear(g group) bool {
+// harmExceedsValue reports whether a deep prompt must wait because answers in progress
+// would lose more than the prompt is worth. A late prompt is worth less, but its lateness
+// is no cost: counted as one, it would hold the prompt until its answer cannot be complete
+// in time.
+func (c *chooser) harmExceedsValue(g group) bool {
 	worth := value(c.req.Prompt)
 	if c.req.Useful > 0 && c.req.Waited+g.first > c.req.Useful {
 		worth *= lateValue
@@ -56,72 +56,76 @@
 	return g.harm > worth
 }
 
-// slowness is the share of its value that a prompt loses by coming just in time
-// rather than at once: it keeps the engines shorter from others.
-const slowness = 0.2
+// latencyPenalty is the share of its value that a prompt loses if its first event comes
+// just in time rather than at once. It favours groups that occupy the engines for a
+// shorter time.
+const latencyPenalty = 0.2
 
-// passMargin of a pause is kept free for what other instances place meanwhile.
-const passMargin = 15 * time.Millisecond
+// gapMargin is the part of a gap kept free for prompts that other instances place at the
+// same time.
+const gapMargin = 15 * time.Millisecond
 
-// candidate is an engine as it is before a prompt is placed.
+// candidate is the state of an engine before the prompt is placed.
 type candidate struct {
 	server backends.Server
-	// ready is when it could have read an empty part.
+	// ready is when the engine could finish the prefill of an empty part.
 	ready time.Duration
-	// pause is that of its answers without a part. Those to prompts that are not deep
-	// lose the value tight if it becomes longer than any answer allows, those to deep
-	// ones the value loose if it becomes longer than the request's own route allows.
-	pause        time.Duration
-	tight, loose float64
-	// harm is the value lost by the part that is being weighed.
+	// gap is the predicted gap in its answers without a part. If a part makes it exceed
+	// the tightest limit of the service, answers to prompts that are not deep lose
+	// tightValue; if it exceeds the limit of the request's own route, answers to deep ones
+	// lose looseValue.
+	gap                    time.Duration
+	tightValue, looseValue float64
+	// harm is the value lost by the part under consideration.
 	harm float64
 }
 
 func (c *chooser) candidate(s backends.Server) candidate {
 	l := c.load(s.ID)
-	k := candidate{server: s, ready: c.readBy(s, 0)}
+	k := candidate{server: s, ready: c.predictPrefillEnd(s, 0)}
 	if l.Calls == 0 {
 		return k
 	}
 	each := value(l.HeldTokens/l.Calls) * (1 - lateValue)
-	k.pause = Pass(c.engine, l) + l.Read + passMargin
-	k.tight, k.loose = float64(l.Calls-l.LongCalls)*each, float64(l.LongCalls)*each
+	k.gap = Pass(c.engine, l) + l.Read + gapMargin
+	k.tightValue, k.looseValue = float64(l.Calls-l.LongCalls)*each, float64(l.LongCalls)*each
 	return k
 }
 
-// harmOf is the value that the answers on an engine lose by the pause for a part.
-func (c *chooser) harmOf(k candidate, part time.Duration) (harm float64) {
-	pause := k.pause + part
-	if k.tight > 0 && c.req.Tightest > 0 && pause > c.req.Tightest {
-		harm += k.tight
+// engineHarm is the value that the answers on an engine lose by the gap that a part
+// causes.
+func (c *chooser) engineHarm(k candidate, part time.Duration) (harm float64) {
+	gap := k.gap + part
+	if k.tightValue > 0 && c.req.Tightest > 0 && gap > c.req.Tightest {
+		harm += k.tightValue
 	}
-	if k.loose > 0 && c.req.Pause > 0 && pause > c.req.Pause {
-		harm += k.loose
+	if k.looseValue > 0 && c.req.Pause > 0 && gap > c.req.Pause {
+		harm += k.looseValue
 	}
 	return harm
 }
 
-// harmBy is the value that answers in progress lose by a plan.
-func (c *chooser) harmBy(p Plan) (harm float64) {
+// planHarm is the value that answers in progress lose by a plan.
+func (c *chooser) planHarm(p Plan) (harm float64) {
 	for _, part := range p.Parts {
-		harm += c.harmOf(c.candidate(part.Server), part.Load.Read)
+		harm += c.engineHarm(c.candidate(part.Server), part.Load.Read)
 	}
 	return harm
 }
 
-// cheapest returns the group around a writer that costs least.
-func (c *chooser) cheapest(servers []backends.Server, writer backends.Server) group {
-	var free []candidate
-	for _, s := range c.leastReading(servers, writer) {
-		free = append(free, c.candidate(s))
+// cheapestGroup returns the helpers with the lowest cost for a writer.
+func (c *chooser) cheapestGroup(servers []backends.Server, writer backends.Server) group {
+	var eligible []candidate
+	for _, s := range c.eligibleHelpers(servers, writer) {
+		eligible = append(eligible, c.candidate(s))
 	}
-	first := c.candidate(writer)
-	most := min(int((c.req.Prompt+partTokens-1)/partTokens)-1, maxHelpers, len(free))
+	writerCandidate := c.candidate(writer)
+	maxCount := min(int((c.req.Prompt+partTokens-1)/partTokens)-1, maxHelpers, len(eligible))
 	best, bestCost := group{}, math.Inf(1)
-	order := make([]candidate, len(free))
-	for n := 0; n <= most; n++ {
-		copy(order, free)
-		g := c.groupOf(order, first, n)
+	order := make([]candidate, len(eligible))
+	for n := 0; n <= maxCount; n++ {
+		copy(order, eligible)
+		g := c.groupOfSize(order, writerCandidate, n)
 		if cost := c.cost(g); cost < bestCost {
 			best, bestCost = g, cost
 		}
@@ -129,16 +133,16 @@
 	return best
 }
 
-// groupOf takes the n engines that lose least by their part, of these the first
-// ones of free, which come in the order of their reading and are sorted anew.
-func (c *chooser) groupOf(free []candidate, writer candidate, n int) group {
-	each := c.readTime(n)
-	for i := range free {
-		free[i].harm = c.harmOf(free[i], each)
+// groupOfSize takes the n engines whose answers lose least by a part; among equals, those
+// that come first in eligible, which is ordered by prefill end. It reorders eligible.
+func (c *chooser) groupOfSize(eligible []candidate, writer candidate, n int) group {
+	each := c.partPrefill(n)
+	for i := range eligible {
+		eligible[i].harm = c.engineHarm(eligible[i], each)
 	}
-	slices.SortStableFunc(free, func(a, b candidate) int { return cmp.Compare(a.harm, b.harm) })
-	g := group{first: writer.ready + each, harm: c.harmOf(writer, each)}
-	for _, k := range free[:n] {
+	slices.SortStableFunc(eligible, func(a, b candidate) int { return cmp.Compare(a.harm, b.harm) })
+	g := group{first: writer.ready + each, harm: c.engineHarm(writer, each)}
+	for _, k := range eligible[:n] {
 		g.helpers = append(g.helpers, k.server)
 		g.harm += k.harm
 		g.first = max(g.first, k.ready+each)
--- a/decide/spread/hold_test.go
+++ b/decide/spread/hold_test.go
@@ -9,11 +9,9 @@
 	"github.com/auburnmoor/auburnmoor/decide/spread"
 )
 
-// On a fleet of 69 engines a prompt of 300,000 tokens is refused after three
-// seconds in which most engines had nothing to read. Two others were being read, by
-// 17 engines each; that made the mean reading of all engines 123 ms, and prompts of
-// that length wait above 102 ms. Evidence: the refusal named 65 ms and an emptiest
-// engine without any work, and 13 smaller prompts had been placed meanwhile.
+// Guards against a prompt of 300,000 tokens being refused after three seconds on a fleet
+// of 69 engines of which most are idle. Two other prompts, prefilled by 17 engines each,
+// raised the mean over all engines to 123 ms, above the limit of 102 ms for that length.
 var _ = Describe("a large prompt on a large fleet", func() {
 	request := spread.Request{Prompt: 300_000, Answer: 1600, Useful: 4 * time.Second, Pause: time.Second, Patience: 9 * time.Second}
 
@@ -25,7 +23,7 @@
 		return f
 	}
 
-	It("does not wait for engines that it would not use", func() {
+	It("does not wait for engines that it does not need", func() {
 		p, v := busy(69, 34).place(request)
 		Expect(v).To(Equal(spread.Placed), p.Reason.String())
 		Expect(p.FirstEvent).To(BeNumerically("<", time.Second))
@@ -37,7 +35,7 @@
 		Expect(p.Reason).To(Equal(spread.ForReading))
 	})
 
-	It("waits on a small fleet while half of it reads", func() {
+	It("waits on a small fleet while half of it is busy with prefill", func() {
 		_, v := busy(17, 9).place(request)
 		Expect(v).To(Equal(spread.Hold))
 	})
--- a/decide/spread/ledger.go
+++ b/decide/spread/ledger.go
@@ -9,35 +9,35 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key stands for a server's ID in a ledger and in reports, of which it makes for a third
-// of the bytes that the ID would take. Two of 750 servers share one with a chance of one
-// in 15,000; then each is taken to have the work of both.
+// Key is the hash of a server's ID, used in ledgers and reports because it takes a third
+// of the bytes of the ID. Two of 750 servers collide with a probability of 1 in 15,000;
+// each is then charged with the work of both.
 type Key uint32
 
 // KeyOf returns the key of a server.
 func KeyOf(server string) Key { return Key(xxhash.Sum64String(server)) }
 
-// Read is the reading of one part of a prompt.
+// Read is the prefill of one part of a prompt.
 type Read struct {
-	// Time is how long the server reads, Due when it is expected to have done so, from
-	// the moment at which the work is told.
+	// Time is how long the prefill takes, Due when it is expected to end: in Work from the
+	// moment of the report, in a ledger by its clock.
 	Time, Due time.Duration
 }
 
-// Work is what one instance placed on one server. Reads are not in Load: they end by
-// themselves at all instances when they are due, so that nobody need tell that they did.
+// Work is what one instance placed on one server. Reads are not part of Load: every
+// instance removes them when they are due, so that their end need not be sent.
 type Work struct {
 	Load
 	Reads []Read
 }
 
-// account is the work of one instance on one server; reads are due by the ledger's clock.
+// account is the work of one instance on one server, with due times by the ledger's clock.
 type account struct {
 	load  Load
 	reads []Read
 }
 
-// sum is the work including what is still being read.
+// sum is the whole work, pending prefill included.
 func (a *account) sum() Load {
 	if a == nil {
 		return Load{}
@@ -49,7 +49,7 @@
 	return sum
 }
 
-// work tells the account as of now.
+// work returns the account with due times relative to now.
 func (a *account) work(now time.Duration) Work {
 	if a == nil {
 		return Work{}
@@ -61,52 +61,52 @@
 	return w
 }
 
-// accounts are those of one instance.
+// accounts holds the work of one instance by server.
 type accounts map[Key]*account
 
-// Ledger adds up the work of this instance and what others report of theirs.
-// It is not safe for concurrent use.
+// Ledger adds up the work of this instance and what peers report of theirs. It is not safe
+// for concurrent use.
 type Ledger struct {
-	own     accounts
-	peers   map[string]accounts
-	heard   map[string]time.Duration
-	total   map[Key]Load
-	changed map[Key]bool
-	due     dueHeap
+	local      accounts
+	peers      map[string]accounts
+	lastReport map[string]time.Duration
+	total      map[Key]Load
+	changed    map[Key]bool
+	ends       endHeap
 }
 
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
-	return &Ledger{own: accounts{}, peers: map[string]accounts{}, heard: map[string]time.Duration{}, total: map[Key]Load{}, changed: map[Key]bool{}}
+	return &Ledger{local: accounts{}, peers: map[string]accounts{}, lastReport: map[string]time.Duration{}, total: map[Key]Load{}, changed: map[Key]bool{}}
 }
 
 // Of returns the work of all instances on a server, as of the last Advance.
 func (l *Ledger) Of(server string) Load { return l.total[KeyOf(server)] }
 
 // Own returns the work of this instance on a server.
-func (l *Ledger) Own(now time.Duration, server Key) Work { return l.own[server].work(now) }
+func (l *Ledger) Own(now time.Duration, server Key) Work { return l.local[server].work(now) }
 
-// Add notes work of this instance. Its reading ends with Sub only.
+// Add records work of this instance. Its prefill ends only by Sub.
 func (l *Ledger) Add(server string, v Load) {
-	l.change(l.own, KeyOf(server), func(a *account) { a.load = a.load.plus(v) })
+	l.change(l.local, KeyOf(server), func(a *account) { a.load = a.load.plus(v) })
 	l.changed[KeyOf(server)] = true
 }
 
-// Sub ends work that Add noted, or the part of what Place noted that is not reading.
+// Sub removes work that Add recorded, or what Place recorded except its prefill.
 func (l *Ledger) Sub(server string, v Load) {
 	if v == (Load{}) {
 		return
 	}
-	l.change(l.own, KeyOf(server), func(a *account) { a.load = a.load.Minus(v) })
+	l.change(l.local, KeyOf(server), func(a *account) { a.load = a.load.Minus(v) })
 	l.changed[KeyOf(server)] = true
 }
 
-// Place notes a part of a plan. Its reading ends by itself when it is due; the returned
-// read ends it sooner.
+// Place records a part of a plan. Its prefill ends by itself when it is due; EndRead with
+// the returned value ends it sooner.
 func (l *Ledger) Place(now time.Duration, p Part) Read {
 	k := KeyOf(p.Server.ID)
 	r := Read{Time: p.Load.Read, Due: now + p.ReadBy}
-	l.change(l.own, k, func(a *account) {
+	l.change(l.local, k, func(a *account) {
 		a.load = a.load.plus(p.Load.Minus(Load{Read: p.Load.Read}))
 		if r.Time > 0 {
 			a.reads = append(a.reads, r)
@@ -114,54 +114,55 @@
 	})
 	l.changed[k] = true
 	if r.Time > 0 {
-		heap.Push(&l.due, due{at: r.Due, server: k})
+		heap.Push(&l.ends, endEvent{at: r.Due, server: k})
 	}
 	return r
 }
 
-// EndRead ends a reading that Place noted, if it has not ended. Nobody is told of that
-// alone: it ends at the others when it is due, or with the next report on the server.
+// EndRead ends a prefill that Place recorded, if it has not ended. The server is not
+// marked as changed: peers end the prefill when it is due, or with the next report on the
+// server.
 func (l *Ledger) EndRead(server string, r Read) {
 	k := KeyOf(server)
-	if a := l.own[k]; a == nil || !slices.Contains(a.reads, r) {
+	if a := l.local[k]; a == nil || !slices.Contains(a.reads, r) {
 		return
 	}
-	l.change(l.own, k, func(a *account) {
+	l.change(l.local, k, func(a *account) {
 		i := slices.Index(a.reads, r)
 		a.reads = slices.Delete(a.reads, i, i+1)
 	})
 }
 
-// Advance ends the readings that are due.
+// Advance ends the prefills that are due.
 func (l *Ledger) Advance(now time.Duration) {
-	for len(l.due) > 0 && l.due[0].at <= now {
-		d := heap.Pop(&l.due).(due)
-		of := l.own
+	for len(l.ends) > 0 && l.ends[0].at <= now {
+		d := heap.Pop(&l.ends).(endEvent)
+		target := l.local
 		if d.peer != "" {
-			of = l.peers[d.peer]
+			target = l.peers[d.peer]
 		}
-		if of[d.server] == nil {
+		if target[d.server] == nil {
 			continue
 		}
-		l.change(of, d.server, func(a *account) {
+		l.change(target, d.server, func(a *account) {
 			a.reads = slices.DeleteFunc(a.reads, func(r Read) bool { return r.Due <= now })
 		})
 	}
 }
 
-// change changes the account of a server and the total by as much.
-func (l *Ledger) change(of accounts, server Key, f func(*account)) {
-	a := of[server]
+// change applies f to the account of a server and adjusts the total by the difference.
+func (l *Ledger) change(target accounts, server Key, f func(*account)) {
+	a := target[server]
 	if a == nil {
 		a = &account{}
-		of[server] = a
+		target[server] = a
 	}
-	was := a.sum()
+	previous := a.sum()
 	f(a)
 	if a.load == (Load{}) && len(a.reads) == 0 {
-		delete(of, server)
+		delete(target, server)
 	}
-	sum := l.total[server].Minus(was).plus(a.sum())
+	sum := l.total[server].Minus(previous).plus(a.sum())
 	if sum == (Load{}) {
 		delete(l.total, server)
 		return
@@ -169,30 +170,30 @@
 	l.total[server] = sum
 }
 
-// Report takes over what a peer says of its work. Values are absolute, so a
-// report that was lost or came twice is put right by the next one. A complete
-// report also ends what it does not name.
-func (l *Ledger) Report(now time.Duration, peer string, complete bool, told map[Key]Work) {
-	l.heard[peer] = now
-	held := l.peers[peer]
-	if held == nil {
-		held = accounts{}
-		l.peers[peer] = held
+// Report applies a report of a peer's work. Values are absolute, so the next report
+// corrects one that was lost, and duplicates do no harm. A complete report also ends the
+// work on servers that it does not list.
+func (l *Ledger) Report(now time.Duration, peer string, complete bool, reported map[Key]Work) {
+	l.lastReport[peer] = now
+	known := l.peers[peer]
+	if known == nil {
+		known = accounts{}
+		l.peers[peer] = known
 	}
-	for server, w := range told {
-		l.setPeer(now, peer, server, w)
+	for server, w := range reported {
+		l.setPeerWork(now, peer, server, w)
 	}
 	if !complete {
 		return
 	}
-	for server := range held {
-		if _, named := told[server]; !named {
-			l.setPeer(now, peer, server, Work{})
+	for server := range known {
+		if _, listed := reported[server]; !listed {
+			l.setPeerWork(now, peer, server, Work{})
 		}
 	}
 }
 
-func (l *Ledger) setPeer(now time.Duration, peer string, server Key, w Work) {
+func (l *Ledger) setPeerWork(now time.Duration, peer string, server Key, w Work) {
 	l.change(l.peers[peer], server, func(a *account) {
 		a.load, a.reads = w.Load, a.reads[:0]
 		for _, r := range w.Reads {
@@ -200,13 +201,12 @@
 				continue
 			}
 			a.reads = append(a.reads, Read{Time: r.Time, Due: now + r.Due})
-			heap.Push(&l.due, due{at: now + r.Due, peer: peer, server: server})
+			heap.Push(&l.ends, endEvent{at: now + r.Due, peer: peer, server: server})
 		}
 	})
 }
 
-// Keep forgets the work of peers that are not live: their requests ended with
-// them.
+// Keep drops the work of peers that are not live: their requests ended with them.
 func (l *Ledger) Keep(live map[string]bool) {
 	for peer := range l.peers {
 		if !live[peer] {
@@ -215,13 +215,13 @@
 	}
 }
 
-// Expire forgets what peers said that were not heard since a time, and returns
-// their names. A peer that others still hear may have no working link to this
-// instance; the work that it named last would count for as long as that lasts,
-// and requests would wait for engines that have long been idle.
+// Expire drops the work of peers whose last report is older than since, and returns their
+// names. A peer that others still hear may have no working link to this instance; its last
+// reported work would count for as long as that lasts, and requests would wait for engines
+// that have long been idle.
 func (l *Ledger) Expire(since time.Duration) (silent []string) {
 	for peer := range l.peers {
-		if l.heard[peer] < since {
+		if l.lastReport[peer] < since {
 			l.forget(peer)
 			silent = append(silent, peer)
 		}
@@ -231,14 +231,14 @@
 
 func (l *Ledger) forget(peer string) {
 	for server := range l.peers[peer] {
-		l.setPeer(0, peer, server, Work{})
+		l.setPeerWork(0, peer, server, Work{})
 	}
 	delete(l.peers, peer)
-	delete(l.heard, peer)
+	delete(l.lastReport, peer)
 }
 
-// TakeChanged returns the present work of this instance on the servers where
-// it changed since the last call.
+// TakeChanged returns the present work of this instance on the servers where it changed
+// since the last call.
 func (l *Ledger) TakeChanged(now time.Duration) map[Key]Work {
 	if len(l.changed) == 0 {
 		return nil
@@ -253,35 +253,36 @@
 
 // All returns the whole work of this instance.
 func (l *Ledger) All(now time.Duration) map[Key]Work {
-	out := make(map[Key]Work, len(l.own))
-	for server, a := range l.own {
+	out := make(map[Key]Work, len(l.local))
+	for server, a := range l.local {
 		out[server] = a.work(now)
 	}
 	return out
 }
 
-// OwnOf returns the work of this instance on a server, reading included.
-func (l *Ledger) OwnOf(server string) Load { return l.own[KeyOf(server)].sum() }
+// OwnOf returns the work of this instance on a server, pending prefill included.
+func (l *Ledger) OwnOf(server string) Load { return l.local[KeyOf(server)].sum() }
 
-// due is when a reading ends at a server, of a peer or, without one, of this instance.
-type due struct {
+// endEvent is when a prefill ends on a server, placed by a peer or, if peer is empty, by
+// this instance.
+type endEvent struct {
 	at     time.Duration
 	peer   string
 	server Key
 }
 
-// dueHeap is a heap.Interface by time.
-type dueHeap []due
+// endHeap is a heap.Interface ordered by time.
+type endHeap []endEvent
 
-func (h dueHeap) Len() int           { return len(h) }
-func (h dueHeap) Less(i, j int) bool { return cmp.Less(h[i].at, h[j].at) }
-func (h dueHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h endHeap) Len() int           { return len(h) }
+func (h endHeap) Less(i, j int) bool { return cmp.Less(h[i].at, h[j].at) }
+func (h endHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
-func (h *dueHeap) Push(x any) { *h = append(*h, x.(due)) }
+func (h *endHeap) Push(x any) { *h = append(*h, x.(endEvent)) }
 
 // Pop implements heap.Interface.
-func (h *dueHeap) Pop() any {
+func (h *endHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
--- a/decide/spread/load.go
+++ b/decide/spread/load.go
@@ -1,24 +1,30 @@
-// Package spread decides which backend server writes an answer and which
-// servers help to read its prompt, from the work that all instances have placed.
-// It does no I/O and reads no clock.
+// Package spread places requests on backend servers, from the work that all instances have
+// placed on them. For a model service, one server (the writer) decodes the answer, and
+// others (the helpers) may prefill parts of its prompt. Prompts that take 100 ms or more
+// to prefill on one engine are long; those that take 1 s or more, or that no engine can
+// hold, are deep and queue at the instances.
+//
+// Comments on constants give shares of the value of requests (see value) that were kept or
+// lost under simulated loads. The package does no I/O and reads no clock.
 package spread
 
 import "time"
 
 // Load is work placed on one server.
 type Load struct {
-	// Calls are the requests whose answer the server writes.
+	// Calls are the requests whose answer the server decodes.
 	Calls int64
-	// LongCalls are those of the calls whose prompt is deep.
+	// LongCalls are the calls with a deep prompt.
 	LongCalls int64
-	// HeldTokens is the KV memory of those requests.
+	// HeldTokens is the KV cache of the calls and the parts reserved for calls of other
+	// servers.
 	HeldTokens int64
-	// Read is the time that the server needs for the prompts it has to read.
+	// Read is the prefill time that is still pending, by prediction.
 	Read time.Duration
-	// Unread is the reading of prompts whose first event has not come. Read ends
-	// when it is predicted to, Unread when it has ended.
+	// Unread is the prefill time of prompts whose first event has not come. Read ends at
+	// its predicted end, Unread when the first event confirms it.
 	Unread time.Duration
-	// Parts are prompts of which the server reads a part for another server.
+	// Parts are prompts of which the server prefills a part for another server.
 	Parts int64
 }
 
@@ -26,12 +32,12 @@
 	return Load{Calls: l.Calls + o.Calls, LongCalls: l.LongCalls + o.LongCalls, HeldTokens: l.HeldTokens + o.HeldTokens, Read: l.Read + o.Read, Parts: l.Parts + o.Parts, Unread: l.Unread + o.Unread}
 }
 
-// Minus returns the work without a part of it.
+// Minus returns l with o subtracted.
 func (l Load) Minus(o Load) Load {
 	return Load{Calls: l.Calls - o.Calls, LongCalls: l.LongCalls - o.LongCalls, HeldTokens: l.HeldTokens - o.HeldTokens, Read: l.Read - o.Read, Parts: l.Parts - o.Parts, Unread: l.Unread - o.Unread}
 }
 
-// HasSlots reports whether a server of so many slots runs all its calls at once.
+// HasSlots reports whether a server with so many slots runs all its calls at once.
 func (l Load) HasSlots(slots int) bool { return slots > 0 && l.Calls <= int64(slots) }
 
 // Begun is the part of the work that ends with the first event of an answer.
--- a/decide/spread/place_bench_test.go
+++ b/decide/spread/place_bench_test.go
@@ -8,9 +8,9 @@
 	"github.com/auburnmoor/auburnmoor/decide/spread"
 )
 
-// The placing of a deep prompt over 60 engines that write short answers: 205 us and
-// 142 KB while what an engine's answers would lose was worked out anew for each
-// number of helpers, 155 us and 62 KB since it is worked out once.
+// BenchmarkPlaceDeep places a deep prompt over 60 engines that decode short answers: 155
+// us and 62 KB. Computing the harm to each engine's answers once rather than for each
+// number of helpers saves 50 us and 80 KB.
 func BenchmarkPlaceDeep(b *testing.B) {
 	f := newFleet(60)
 	for i, s := range f.servers {
@@ -25,8 +25,8 @@
 	}
 }
 
-// Placing over the engines of a cell, by their number. A prompt that is held back is placed
-// again 67 times a second.
+// BenchmarkPlaceAtSize measures placing by the number of engines of a cell. A held prompt
+// is placed again 67 times a second.
 func BenchmarkPlaceAtSize(b *testing.B) {
 	for _, kind := range []struct {
 		name   string
--- a/decide/spread/reason.go
+++ b/decide/spread/reason.go
@@ -7,19 +7,19 @@
 const (
 	// NoReason: it was placed, or there is no server.
 	NoReason Reason = iota
-	// ForTurn: another prompt that is held back goes first.
+	// ForTurn: another held prompt precedes it.
 	ForTurn
-	// ForReading: the engines have too much to read.
+	// ForReading: too much prefill is pending on the engines.
 	ForReading
 	// ForSlot: all slots are taken.
 	ForSlot
-	// ForMemory: the engines together have too little memory free.
+	// ForMemory: the engines together have too little free memory.
 	ForMemory
 	// ForHarm: answers in progress would lose more than the prompt is worth.
 	ForHarm
-	// ForTime: its answer cannot come in time any more.
+	// ForTime: its answer can no longer come in time.
 	ForTime
-	// Reasons is their number.
+	// Reasons is the number of reasons.
 	Reasons
 )
 
--- a/decide/spread/reason_test.go
+++ b/decide/spread/reason_test.go
@@ -9,13 +9,13 @@
 	"github.com/auburnmoor/auburnmoor/decide/spread"
 )
 
-// A user asks why a prompt of 300,000 tokens was refused after three seconds. The
-// logs name the mean reading and the emptiest engine, which had room; whether the
-// prompt waited for its turn, for reading or for memory they do not tell.
+// Guards against refusals that cannot be explained: the mean backlog and the most free
+// memory alone do not tell whether a prompt waited for its turn, for prefill or for
+// memory.
 var _ = Describe("a request that is not placed", func() {
 	deep := spread.Request{Prompt: 200_000, Answer: 1600, Useful: 3 * time.Second, Pause: time.Second, Patience: 9 * time.Second}
 
-	DescribeTable("says what it waits for", func(each spread.Load, change func(*spread.Request), want spread.Reason) {
+	DescribeTable("has the reason for its wait", func(each spread.Load, change func(*spread.Request), want spread.Reason) {
 		f := newFleet(21)
 		for _, s := range f.servers {
 			f.ledger.Add(s.ID, each)
@@ -26,14 +26,14 @@
 		Expect(v).To(Equal(spread.Hold))
 		Expect(p.Reason).To(Equal(want), p.Reason.String())
 	},
-		Entry("another prompt", spread.Load{}, func(r *spread.Request) { r.Behind = true }, spread.ForTurn),
-		Entry("reading", spread.Load{Unread: 400 * time.Millisecond}, func(*spread.Request) {}, spread.ForReading),
-		Entry("a slot", spread.Load{Calls: 16}, func(r *spread.Request) { r.Prompt = 5000 }, spread.ForSlot),
-		Entry("memory", spread.Load{HeldTokens: 290_000, Calls: 1}, func(r *spread.Request) { r.Prompt = 400_000 }, spread.ForMemory),
-		Entry("answers in progress", spread.Load{Calls: 15, HeldTokens: 60_000}, func(r *spread.Request) { r.Tightest = 70 * time.Millisecond }, spread.ForHarm),
+		Entry("another prompt goes first", spread.Load{}, func(r *spread.Request) { r.Behind = true }, spread.ForTurn),
+		Entry("pending prefill", spread.Load{Unread: 400 * time.Millisecond}, func(*spread.Request) {}, spread.ForReading),
+		Entry("no free slot", spread.Load{Calls: 16}, func(r *spread.Request) { r.Prompt = 5000 }, spread.ForSlot),
+		Entry("too little free memory", spread.Load{HeldTokens: 290_000, Calls: 1}, func(r *spread.Request) { r.Prompt = 400_000 }, spread.ForMemory),
+		Entry("gaps in answers in progress", spread.Load{Calls: 15, HeldTokens: 60_000}, func(r *spread.Request) { r.Tightest = 70 * time.Millisecond }, spread.ForHarm),
 	)
 
-	It("is placed without a reason", func() {
+	It("has no reason once it is placed", func() {
 		p, v := newFleet(21).place(deep)
 		Expect(v).To(Equal(spread.Placed))
 		Expect(p.Reason).To(Equal(spread.NoReason))
--- a/decide/spread/roles.go
+++ b/decide/spread/roles.go
@@ -2,67 +2,67 @@
 
 import "github.com/auburnmoor/auburnmoor/decide/backends"
 
-// roles divides engines by what they do at present. An engine that writes makes
-// a stride of token steps in each pass (about 45 ms), also for a single answer,
-// and reads all prompts that wait in between; its answers pause meanwhile. So
-// answers are written by as few engines as hold them, and the others read.
-// The answers to deep prompts are written apart: their own part and their
-// context would lengthen every pass of the engines that write short ones. With
-// that, 0.89 of the value of short prompts was kept instead of 0.78.
+// roles divides engines between decoding and prefill. An engine that decodes makes a
+// stride of token steps in each pass (about 45 ms), even for a single answer, and prefills
+// all waiting prompts in between, while its answers pause. So as few engines as can hold
+// the answers decode, and the others prefill.
+//
+// Answers to deep prompts are decoded on separate engines: their prefill and their context
+// would lengthen every pass of the engines that decode short ones. This raised the share
+// of the value of short prompts that is kept from 0.78 to 0.89.
 type roles struct {
-	// writers answer prompts that are not deep.
+	// writers decode the answers to prompts that are not deep.
 	writers []backends.Server
-	// readers are all others; the longWriters among them answer deep prompts.
-	readers, longWriters []backends.Server
+	// prefillEngines are all others; the deepWriters among them decode the answers to deep
+	// prompts.
+	prefillEngines, deepWriters []backends.Server
 }
 
-// Figures of the division.
+// Parameters of the division.
 const (
-	// fullWriter is the share of its slots with which an engine writes before another
-	// one is used; the rest is for what other instances place in the milliseconds
-	// before their reports arrive. 10 and 14 of 16 kept 0.01 less of the value of all
-	// requests; twelve of 24 slots, 0.004 less than 18 (16 seeds in virtual time).
-	fullWriter = 0.75
-	// minWriters keeps answers on more than one engine, so that the loss of one
-	// does not break all of them.
+	// writerFillShare is the share of its slots that a writer fills before another one is
+	// used; the rest is for what other instances place before their reports arrive. 10 and
+	// 14 of 16 slots lost 0.01 of the value of all requests.
+	writerFillShare = 0.75
+	// minWriters keeps answers on more than one engine, so that the loss of one does not
+	// break all of them.
 	minWriters = 3
-	// mostWriters is the share of the engines that may write. Without readers, a
-	// burst of short prompts is read by the engines that write them, and each of
-	// their passes takes longer. The share is exceeded once the writers have no
-	// free slot: answers that wait for one grow in number until the burst ends. At
-	// 1.45 times the sheets' loads 0.79 and 0.71 of the value of all requests are
-	// kept with that, 0.74 and 0.62 without (12 seeds in virtual time).
-	mostWriters = 0.75
-	// longPerWriter is how many deep prompts one engine answers before another
-	// one is used. 2 kept 0.01 less of the value of all requests.
-	longPerWriter = 3
-	// longShare of the engines that answer no short prompts may answer deep ones.
-	longShare = 0.5
-	// fewEngines are not divided.
-	fewEngines = 6
+	// maxWriterShare is the share of the engines that may decode short answers. Without
+	// engines left for prefill, a burst of short prompts would lengthen each pass of those
+	// that decode them. The share is exceeded once the writers have no free slot:
+	// otherwise the answers that wait for one accumulate until the burst ends, which cost
+	// 0.05 to 0.09 of the value of all requests under overload.
+	maxWriterShare = 0.75
+	// deepCallsPerWriter is how many answers to deep prompts one engine decodes before
+	// another one is used. 2 lost 0.01 of the value of all requests.
+	deepCallsPerWriter = 3
+	// deepWriterShare is the share of the remaining engines that may decode answers to
+	// deep prompts.
+	deepWriterShare = 0.5
+	// minDividedEngines is the number of engines below which they are not divided.
+	minDividedEngines = 6
 )
 
-// divide takes the first engines for writing, as many as the answers in
-// progress need with that number of slots an engine, and the last ones for the
-// answers to deep prompts. The order of
-// the servers is the same at all instances, which see nearly the same load, so
-// they take the same ones without agreeing.
+// divide takes the first servers as writers, as many as the answers in progress need with
+// that number of slots per engine, and the last ones as deepWriters. All instances have
+// the same order of servers and see nearly the same load, so they choose the same ones
+// without coordination.
 func divide(servers []backends.Server, load func(string) Load, slots int) roles {
 	n := len(servers)
-	if n < fewEngines {
-		return roles{writers: servers, longWriters: servers, readers: servers}
+	if n < minDividedEngines {
+		return roles{writers: servers, deepWriters: servers, prefillEngines: servers}
 	}
-	calls, long := int64(1), int64(1)
+	calls, deepCalls := int64(1), int64(1)
 	for _, s := range servers {
 		l := load(s.ID)
 		calls += l.Calls - l.LongCalls
-		long += l.LongCalls
+		deepCalls += l.LongCalls
 	}
-	writers := min(int(mostWriters*float64(n)), max(minWriters, ceilDiv(calls, int64(max(1, fullWriter*float64(slots))))))
+	writers := min(int(maxWriterShare*float64(n)), max(minWriters, ceilDiv(calls, int64(max(1, writerFillShare*float64(slots))))))
 	writers = min(n-1, max(writers, ceilDiv(calls, int64(max(1, slots)))))
 	rest := servers[writers:]
-	longWriters := min(ceilDiv(long, longPerWriter), max(1, int(longShare*float64(len(rest)))))
-	return roles{writers: servers[:writers], longWriters: rest[len(rest)-longWriters:], readers: rest}
+	deepWriters := min(ceilDiv(deepCalls, deepCallsPerWriter), max(1, int(deepWriterShare*float64(len(rest)))))
+	return roles{writers: servers[:writers], deepWriters: rest[len(rest)-deepWriters:], prefillEngines: rest}
 }
 
 func ceilDiv(a, b int64) int { return int((a + b - 1) / b) }
--- a/decide/spread/slots_test.go
+++ b/decide/spread/slots_test.go
@@ -9,12 +9,12 @@
 	"github.com/auburnmoor/auburnmoor/decide/spread"
 )
 
-// In a burst after the loss of six engines all cooks wait 1.5 s for the first
-// words: more answers are asked for than there are slots, and each request waits
-// in an engine's queue behind those that are late already.
+// Guards against a late first event for all requests when a burst follows the loss of six
+// engines: there are more answers than slots, and in an engine's queue each request waits
+// behind those that are already late.
 var _ = Describe("requests that find no free slot", func() {
 	short := spread.Request{Prompt: 5000, Answer: 1600, Useful: 300 * time.Millisecond, Patience: 900 * time.Millisecond}
-	// withFree leaves so many slots free in a fleet of eight.
+	// withFree returns a fleet of eight engines with that many free slots in all.
 	withFree := func(free int64) *fleet {
 		f := newFleet(8)
 		for i, s := range f.servers {
@@ -26,16 +26,16 @@
 		}
 		return f
 	}
-	after := func(f *fleet, waited time.Duration, rivals int, draw float64) spread.Verdict {
+	verdictAfter := func(f *fleet, waited time.Duration, rivals int, draw float64) spread.Verdict {
 		r := short
 		r.Waited, r.Rivals, r.Draw = waited, rivals, draw
 		_, v := f.place(r)
 		return v
 	}
 
-	It("wait, and are refused when their callers would not wait longer", func() {
-		Expect(after(withFree(0), 0, 0, 0)).To(Equal(spread.Hold))
-		Expect(after(withFree(0), short.Patience, 0, 0)).To(Equal(spread.NoRoom))
+	It("wait, and are refused at the hold limit", func() {
+		Expect(verdictAfter(withFree(0), 0, 0, 0)).To(Equal(spread.Hold))
+		Expect(verdictAfter(withFree(0), short.Patience, 0, 0)).To(Equal(spread.NoRoom))
 	})
 
 	It("take the engine with a free slot", func() {
@@ -43,28 +43,29 @@
 		Expect(p.Writer().ID).To(Equal("s05"))
 	})
 
-	It("let those go first that can still come in time", func() {
+	It("let those go first whose first event can still be in time", func() {
 		late := 280 * time.Millisecond
-		Expect(after(withFree(2), 0, 0, 0)).To(Equal(spread.Placed))
-		Expect(after(withFree(2), late, 0, 0)).To(Equal(spread.Hold))
-		Expect(after(withFree(10), late, 0, 0)).To(Equal(spread.Placed))
+		Expect(verdictAfter(withFree(2), 0, 0, 0)).To(Equal(spread.Placed))
+		Expect(verdictAfter(withFree(2), late, 0, 0)).To(Equal(spread.Hold))
+		Expect(verdictAfter(withFree(10), late, 0, 0)).To(Equal(spread.Placed))
 	})
 
-	It("take a slot with the chance of one among all that wait", func() {
-		Expect(after(withFree(2), 0, 10, 0.1)).To(Equal(spread.Placed))
-		Expect(after(withFree(2), 0, 10, 0.3)).To(Equal(spread.Hold))
+	It("take a slot with the probability of one slot per waiting request", func() {
+		Expect(verdictAfter(withFree(2), 0, 10, 0.1)).To(Equal(spread.Placed))
+		Expect(verdictAfter(withFree(2), 0, 10, 0.3)).To(Equal(spread.Hold))
 	})
 
-	// An engine whose memory a deep prompt fills has free slots that nobody can use.
+	// Free slots of an engine whose memory a deep prompt fills cannot be used.
 	It("do not count slots without memory", func() {
 		f := withFree(4)
 		f.ledger.Add("s05", spread.Load{HeldTokens: engine.Memory})
-		Expect(after(f, 0, 0, 0)).To(Equal(spread.Hold))
+		Expect(verdictAfter(f, 0, 0, 0)).To(Equal(spread.Hold))
 	})
 
-	// A prompt larger than a fast engine waited for a slot at an engine with memory
-	// for it, of which there is none, and was refused with all engines idle.
-	It("are not those for which no engine has memory", func() {
+	// Guards against a prompt larger than the memory of a fast engine waiting for a slot
+	// on an engine that could hold it. There is none, and it was refused with all engines
+	// idle.
+	It("do not include those that no engine can hold", func() {
 		fast := *engine
 		fast.ReadPerSecond, fast.PairsPerMillion, fast.Memory = 1e6, 0, 100_000
 		f := newFleet(4)
@@ -73,7 +74,7 @@
 		Expect(p.Helpers()).NotTo(BeEmpty())
 	})
 
-	It("are placed at once where they may not wait", func() {
+	It("are placed at once if they may not be held", func() {
 		r := short
 		r.Patience = 0
 		_, v := withFree(0).place(r)
@@ -82,7 +83,7 @@
 })
 
 var _ = Describe("the count of requests that wait for a slot", func() {
-	It("adds up all instances as long as they are heard", func() {
+	It("adds up the recent reports of all instances", func() {
 		a, b := spread.NewQueue(), spread.NewQueue()
 		a.WaitForSlot(2)
 		b.WaitForSlot(3)
@@ -95,16 +96,16 @@
 	})
 })
 
-// Six servers leave while the store is away. Each prompt that is sent to one of
-// them is turned away and loses one of its two attempts; the server is passed over
-// when it refused although it had a slot, and only then.
+// While the store is down, servers that leave stay listed. A request that one of them
+// rejects loses one of its two attempts. The server is passed over if it rejected the
+// request although it had a free slot, and only then.
 var _ = Describe("a server's calls", func() {
-	DescribeTable("run at once if it has the slots", func(calls int64, slots int, want bool) {
+	DescribeTable("run at once if it has enough slots", func(calls int64, slots int, want bool) {
 		Expect(spread.Load{Calls: calls}.HasSlots(slots)).To(Equal(want))
 	},
 		Entry("some free", int64(3), 16, true),
-		Entry("the refused one takes the last", int64(16), 16, true),
+		Entry("the rejected call would take the last", int64(16), 16, true),
 		Entry("full", int64(17), 16, false),
-		Entry("slots not known", int64(0), 0, false),
+		Entry("number of slots unknown", int64(0), 0, false),
 	)
 })
--- a/decide/spread/spread_test.go
+++ b/decide/spread/spread_test.go
@@ -29,7 +29,7 @@
 	return out
 }
 
-// fleet places requests and keeps their loads.
+// fleet places requests and records their loads.
 type fleet struct {
 	servers []backends.Server
 	ledger  *spread.Ledger
@@ -48,8 +48,8 @@
 	return p, v
 }
 
-// read ends the reading of a plan, as its first event does.
-func (f *fleet) read(p spread.Plan) {
+// endPrefill ends the prefill of a plan, as its first event does.
+func (f *fleet) endPrefill(p spread.Plan) {
 	for _, part := range p.Parts {
 		f.ledger.Sub(part.Server.ID, spread.Load{Read: part.Load.Read})
 		f.ledger.Sub(part.Server.ID, part.Load.Begun())
@@ -57,16 +57,16 @@
 }
 
 var _ = Describe("placing", func() {
-	// A tutor waits: answers were written on every engine, so each prompt was
-	// read between the token steps of others.
-	It("writes on few engines and reads on the others", func() {
+	// Guards against decoding on every engine, which makes each prefill wait between the
+	// token steps of other answers.
+	It("decodes on few engines and prefills on the others", func() {
 		f := newFleet(21)
 		writers := map[string]bool{}
 		for range 40 {
 			p, v := f.place(spread.Request{Prompt: 5000, Answer: 1600})
 			Expect(v).To(Equal(spread.Placed))
 			writers[p.Writer().ID] = true
-			f.read(p)
+			f.endPrefill(p)
 		}
 		Expect(len(writers)).To(BeNumerically("<=", 6))
 		for _, h := range must(f.place(spread.Request{Prompt: 5000, Answer: 1600})).Helpers() {
@@ -74,26 +74,25 @@
 		}
 	})
 
-	It("keeps answers on several engines and engines for reading", func() {
+	It("decodes on several engines and keeps others for prefill", func() {
 		f := newFleet(21)
 		writers := map[string]bool{}
 		for range 15 * engine.Slots {
 			p, _ := f.place(spread.Request{Prompt: 500, Answer: 100})
 			writers[p.Writer().ID] = true
-			f.read(p)
+			f.endPrefill(p)
 		}
 		Expect(len(writers)).To(BeNumerically(">=", 3))
 		Expect(len(writers)).To(BeNumerically("<=", 15))
 	})
 
-	// In a burst of drafts every tutor waits half a second for the first words:
-	// three quarters of the engines wrote, all their slots were taken, and the
-	// others were kept for reading.
-	It("writes on further engines once those that write have no free slot", func() {
+	// Guards against a late first event for every request of a burst: three quarters of
+	// the engines decoded and had no free slot, while the others were kept for prefill.
+	It("decodes on further engines once the writers have no free slot", func() {
 		f := newFleet(21)
 		for range 20 * engine.Slots {
 			p, _ := f.place(spread.Request{Prompt: 500, Answer: 100})
-			f.read(p)
+			f.endPrefill(p)
 		}
 		for _, s := range f.servers {
 			Expect(f.ledger.Of(s.ID).Calls).To(BeNumerically("<=", engine.Slots))
@@ -105,7 +104,7 @@
 		for range 200 {
 			p, v := f.place(spread.Request{Prompt: 150_000, Answer: 1000})
 			if v == spread.Placed {
-				f.read(p)
+				f.endPrefill(p)
 			}
 		}
 		for _, s := range f.servers {
@@ -113,9 +112,9 @@
 		}
 	})
 
-	// Short prompts wait behind a portfolio: it was read in the engines that all
-	// of them use as helpers.
-	It("does not have a short prompt wait for helpers that read long ones", func() {
+	// Guards against short prompts that wait behind the prefill of a long one on their
+	// helpers.
+	It("gives a short prompt no helper that prefills long ones", func() {
 		f := newFleet(21)
 		for range 6 {
 			must(f.place(spread.Request{Prompt: 150_000, Answer: 1000}))
@@ -126,18 +125,18 @@
 		}
 	})
 
-	// Tutors' drafts stutter while an appeal is read: its own part and its context
-	// lengthened the passes of the engine that wrote them.
-	It("writes the answers to deep prompts apart from short ones", func() {
+	// Guards against gaps in short answers while a deep prompt is prefilled: its own part
+	// and its context lengthen the passes of the engine that decodes its answer.
+	It("decodes answers to deep prompts on other engines than short ones", func() {
 		f := newFleet(21)
 		short, deep := map[string]bool{}, map[string]bool{}
 		for range 20 {
 			p := must(f.place(spread.Request{Prompt: 4000, Answer: 1600}))
 			short[p.Writer().ID] = true
-			f.read(p)
+			f.endPrefill(p)
 			if p, v := f.place(spread.Request{Prompt: 100_000, Answer: 800}); v == spread.Placed && len(deep) < 6 {
 				deep[p.Writer().ID] = true
-				f.read(p)
+				f.endPrefill(p)
 			}
 		}
 		for id := range deep {
@@ -145,7 +144,7 @@
 		}
 	})
 
-	It("has a long prompt add at most 100 ms of reading to a pass of short answers", func() {
+	It("adds at most 100 ms of prefill of a long prompt to a pass of short answers", func() {
 		f := newFleet(21)
 		must(f.place(spread.Request{Prompt: 500, Answer: 1600}))
 		must(f.place(spread.Request{Prompt: 500, Answer: 1600}))
@@ -155,7 +154,7 @@
 		Expect(p.Parts[0].Load.Read).To(BeNumerically("<=", 100*time.Millisecond))
 	})
 
-	It("leaves a busy engine out when it would delay all parts of a long prompt", func() {
+	It("leaves out a busy engine that would delay the first event of a long prompt", func() {
 		f := newFleet(9)
 		f.ledger.Add("s08", spread.Load{Read: 20 * time.Second})
 		p := must(f.place(spread.Request{Prompt: 150_000, Answer: 1000}))
@@ -165,7 +164,7 @@
 		}
 	})
 
-	It("reserves memory for what the writing engine cannot hold", func() {
+	It("reserves memory on helpers for what the writer cannot hold", func() {
 		f := newFleet(21)
 		p, v := f.place(spread.Request{Prompt: 700_000, Answer: 1000})
 		Expect(v).To(Equal(spread.Placed))
@@ -178,7 +177,7 @@
 		Expect(len(p.Helpers())).To(BeNumerically("<=", 16))
 	})
 
-	It("has such a prompt wait while the engines are busy, and refuses it when it would be late or no fleet can hold it", func() {
+	It("holds such a prompt while the engines are busy, and refuses it when it would be late or the fleet cannot hold it", func() {
 		f := newFleet(21)
 		for _, s := range f.servers {
 			f.ledger.Add(s.ID, spread.Load{Read: 200 * time.Millisecond, Unread: 200 * time.Millisecond})
@@ -186,7 +185,7 @@
 		r := spread.Request{Prompt: 700_000, Answer: 1000, Patience: 9 * time.Second, Useful: 3 * time.Second}
 		_, v := f.place(r)
 		Expect(v).To(Equal(spread.Hold))
-		// Reading it on 17 engines takes 2.9 s.
+		// Its prefill on 17 engines takes 2.9 s.
 		r.Waited = 200 * time.Millisecond
 		_, v = f.place(r)
 		Expect(v).To(Equal(spread.NoRoom))
@@ -194,7 +193,7 @@
 		Expect(v).To(Equal(spread.TooLarge))
 	})
 
-	It("avoids servers that failed the request, and has none when all did", func() {
+	It("avoids servers that failed the request, and finds none when all did", func() {
 		f := newFleet(2)
 		p := must(f.place(spread.Request{Prompt: 100, Answer: 10, Avoid: []string{"s00"}}))
 		Expect(p.Writer().ID).To(Equal("s01"))
@@ -202,7 +201,7 @@
 		Expect(v).To(Equal(spread.NoServer))
 	})
 
-	It("asks no engine for more parts than it accepts", func() {
+	It("places no more parts on an engine than it accepts", func() {
 		f := newFleet(7)
 		for range 40 {
 			f.place(spread.Request{Prompt: 150_000, Answer: 10})
@@ -212,7 +211,7 @@
 		}
 	})
 
-	It("spreads instances that know nothing of each other", func() {
+	It("spreads the requests of instances that do not know each other's load", func() {
 		writers := map[string]bool{}
 		for i := range 12 {
 			writers[must(newFleet(21).place(spread.Request{Prompt: 500, Answer: 10, Random: i + 1})).Writer().ID] = true
@@ -220,7 +219,7 @@
 		Expect(len(writers)).To(BeNumerically(">=", 6))
 	})
 
-	It("takes the plain server with the most room, the near one among equals", func() {
+	It("takes the least loaded server of a plain service, among equals one in the same data centre", func() {
 		f := newFleet(3)
 		f.ledger.Add("s00", spread.Load{Calls: 2})
 		p, _ := spread.ChoosePlain(f.servers, f.ledger.Of, spread.Request{DataCentre: "dc-2"})
@@ -233,9 +232,9 @@
 	return p
 }
 
-var _ = Describe("ledger", func() {
+var _ = Describe("the ledger", func() {
 	one := spread.Load{Calls: 1, HeldTokens: 10, Read: time.Second, Parts: 1}
-	told := func(servers ...string) map[spread.Key]spread.Work {
+	report := func(servers ...string) map[spread.Key]spread.Work {
 		out := map[spread.Key]spread.Work{}
 		for _, s := range servers {
 			out[spread.KeyOf(s)] = spread.Work{Load: one}
@@ -243,21 +242,22 @@
 		return out
 	}
 
-	It("adds up the work of all instances and forgets those that are gone", func() {
+	It("adds up the work of all instances and drops that of instances that are gone", func() {
 		l := spread.NewLedger()
 		l.Add("a", one)
-		l.Report(0, "peer", false, told("a", "b"))
+		l.Report(0, "peer", false, report("a", "b"))
 		Expect(l.Of("a").Calls).To(Equal(int64(2)))
 		l.Keep(map[string]bool{})
 		Expect(l.Of("a").Calls).To(Equal(int64(1)))
 		Expect(l.Of("b")).To(Equal(spread.Load{}))
 	})
 
-	// An engine looks busy for ever: the report that its work ended was lost.
-	It("is put right by the next complete report", func() {
+	// Guards against an engine that looks busy for ever because the report that its work
+	// ended was lost.
+	It("is corrected by the next complete report", func() {
 		l := spread.NewLedger()
-		l.Report(0, "peer", false, told("a"))
-		l.Report(0, "peer", true, told())
+		l.Report(0, "peer", false, report("a"))
+		l.Report(0, "peer", true, report())
 		Expect(l.Of("a")).To(Equal(spread.Load{}))
 	})
 
@@ -265,9 +265,9 @@
 		return spread.Part{Server: backends.Server{ID: server}, Load: spread.Load{Calls: 1, Read: read, Unread: read}, ReadBy: by}
 	}
 
-	// Half of all messages between instances told that a part should have been read by now,
-	// which each of them can work out.
-	It("ends a reading when it is due, here and at peers, without a word", func() {
+	// Each instance works out by itself when a prefill is due to end; reports of that were
+	// half of all messages between instances.
+	It("ends a prefill when it is due, locally and at peers, without a report", func() {
 		own, peer := spread.NewLedger(), spread.NewLedger()
 		own.Place(0, part("a", 100*time.Millisecond, 300*time.Millisecond))
 		peer.Report(5*time.Millisecond, "own", false, own.TakeChanged(2*time.Millisecond))
@@ -276,24 +276,24 @@
 			Expect(l.Of("a").Read).To(Equal(100 * time.Millisecond))
 			l.Advance(303 * time.Millisecond)
 			Expect(l.Of("a").Read).To(BeZero())
-			Expect(l.Of("a").Unread).To(Equal(100*time.Millisecond), "what has not been answered is told")
+			Expect(l.Of("a").Unread).To(Equal(100*time.Millisecond), "a prompt without a first event stays unconfirmed")
 		}
 		Expect(own.TakeChanged(time.Second)).To(BeEmpty())
 	})
 
-	It("ends a reading sooner that was done sooner", func() {
+	It("ends a prefill early when told to", func() {
 		l := spread.NewLedger()
 		first := l.Place(0, part("a", 100*time.Millisecond, time.Second))
 		l.Place(0, part("a", 50*time.Millisecond, 2*time.Second))
 		l.EndRead("a", first)
 		Expect(l.Of("a").Read).To(Equal(50 * time.Millisecond))
 		l.EndRead("a", first)
-		Expect(l.Of("a").Read).To(Equal(50*time.Millisecond), "a second end of one reading is none")
+		Expect(l.Of("a").Read).To(Equal(50*time.Millisecond), "ending a prefill twice has no effect")
 		l.Advance(2 * time.Second)
 		Expect(l.Of("a").Read).To(BeZero())
 	})
 
-	It("keeps nothing of a peer whose report replaced a reading, or that is gone", func() {
+	It("drops a prefill that a later report replaced, or whose peer is gone", func() {
 		l := spread.NewLedger()
 		read := func(due time.Duration) map[spread.Key]spread.Work {
 			return map[spread.Key]spread.Work{spread.KeyOf("a"): {Reads: []spread.Read{{Time: time.Second, Due: due}}}}
@@ -324,36 +324,36 @@
 	}
 	busy := func() *fleet {
 		f := newFleet(21)
-		for f.mean() < 250*time.Millisecond {
+		for f.meanUnconfirmed() < 250*time.Millisecond {
 			must(f.place(spread.Request{Prompt: 100_000, Answer: 800}))
 		}
 		return f
 	}
 
-	// Of ten appeals that arrive together all are late: an engine reads what came
-	// last first, so each of them pushed the ones before it back.
-	It("has them wait while the engines have much to read", func() {
+	// Guards against all deep prompts of a burst being late: an engine prefills what came
+	// last first, so each of them delays those before it.
+	It("lasts while much prefill is pending", func() {
 		f := busy()
 		Expect(deep(f, 154_000, 0)).To(Equal(spread.Hold))
 		Expect(deep(f, 154_000, patience)).To(Equal(spread.Placed))
 	})
 
-	It("lets the smaller ones go first", func() {
+	It("lets smaller ones go first", func() {
 		f := busy()
 		Expect(deep(f, 200_000, 0)).To(Equal(spread.Hold))
 		Expect(deep(f, 90_000, 0)).To(Equal(spread.Placed))
 	})
 
-	It("never has short prompts wait", func() {
+	It("does not apply to short prompts", func() {
 		f := busy()
 		p, v := f.place(spread.Request{Prompt: 5000, Answer: 1600, Patience: patience})
 		Expect(v).To(Equal(spread.Placed))
 		Expect(p.Parts).NotTo(BeEmpty())
 	})
 
-	// One review of 600,000 tokens on seven engines had all others wait for six
-	// seconds, though fourteen engines had nothing to do.
-	It("does not wait for a few engines that are busy for long", func() {
+	// Guards against one prompt of 600,000 tokens on seven engines holding back all others
+	// for six seconds while fourteen engines are idle.
+	It("ignores a few engines that are busy for long", func() {
 		f := newFleet(21)
 		for _, s := range f.servers[:7] {
 			f.ledger.Add(s.ID, spread.Load{Unread: 6 * time.Second, Read: 6 * time.Second})
@@ -361,9 +361,9 @@
 		Expect(deep(f, 154_000, 0)).To(Equal(spread.Placed))
 	})
 
-	// The predicted end of the reading had passed and more was sent, while the
-	// engines were seconds behind.
-	It("believes a first event, not the prediction", func() {
+	// Guards against sending more prompts once the predicted end of the prefill has
+	// passed, while the engines are seconds behind.
+	It("lasts until first events confirm the prefill, whatever was predicted", func() {
 		f := newFleet(21)
 		for range 3 {
 			for _, part := range must(f.place(spread.Request{Prompt: 250_000, Answer: 800})).Parts {
@@ -373,27 +373,27 @@
 		Expect(deep(f, 154_000, 0)).To(Equal(spread.Hold))
 	})
 
-	It("waits no longer than clients do", func() {
+	It("is shorter than the client's timeout", func() {
 		Expect(spread.Patience(3*time.Second, 15*time.Second)).To(Equal(9 * time.Second))
 		Expect(spread.Patience(300*time.Millisecond, 10*time.Second)).To(Equal(900 * time.Millisecond))
 		Expect(spread.Patience(4*time.Second, 10*time.Second)).To(Equal(6 * time.Second))
 	})
 })
 
-// mean is the unread prompts of an engine on the mean.
-func (f *fleet) mean() time.Duration { return spread.Unread(f.servers, f.ledger.Of) }
+// meanUnconfirmed is the mean unconfirmed prefill of the engines.
+func (f *fleet) meanUnconfirmed() time.Duration { return spread.Unread(f.servers, f.ledger.Of) }
 
 var _ = Describe("prompts larger than an engine", func() {
 	const tokens = 400_000
 
-	It("are taken by calm engines", func() {
+	It("are placed on idle engines", func() {
 		_, v := newFleet(21).place(spread.Request{Prompt: tokens, Answer: 800, Useful: 3 * time.Second})
 		Expect(v).To(Equal(spread.Placed))
 	})
 
-	// A cook's answer pauses for a second, and so do all others, because an audit
-	// of 400,000 tokens is read by the engines that write them.
-	It("wait while the answers in progress would lose more than they are worth, then are turned away", func() {
+	// Guards against gaps of a second in all answers when a prompt of 400,000 tokens is
+	// prefilled by the engines that decode them.
+	It("wait while the answers in progress would lose more than they are worth, then are rejected", func() {
 		f := newFleet(12)
 		for _, s := range f.servers {
 			f.ledger.Add(s.ID, spread.Load{Calls: 14, HeldTokens: 14 * 8000})
@@ -401,15 +401,15 @@
 		r := spread.Request{Prompt: tokens, Answer: 800, Patience: 9 * time.Second, Useful: 3 * time.Second, Pause: time.Second, Tightest: 200 * time.Millisecond}
 		_, v := f.place(r)
 		Expect(v).To(Equal(spread.Hold))
-		// Reading it on 17 engines takes a second: it would be late from here on.
+		// Its prefill on 17 engines takes a second, so it would be late from here on.
 		r.Waited = 2500 * time.Millisecond
 		_, v = f.place(r)
 		Expect(v).To(Equal(spread.NoRoom))
 	})
 
-	// An appeal is refused for good, and its client never asks again: engines that
-	// had not granted memory were left out when the memory of all was added up.
-	It("are too large only for all engines together", func() {
+	// Guards against rejecting a prompt for good, so that its client does not retry: the
+	// sum of the fleet's memory left out engines that the request had to avoid.
+	It("are too large only if they exceed the memory of the whole fleet", func() {
 		f := newFleet(3)
 		avoid := []string{f.servers[0].ID, f.servers[1].ID}
 		_, v := f.place(spread.Request{Prompt: tokens, Answer: 800, Avoid: avoid})
@@ -417,17 +417,17 @@
 		_, v = f.place(spread.Request{Prompt: 1_000_000, Answer: 800})
 		Expect(v).To(Equal(spread.TooLarge))
 		_, v = newFleet(21).place(spread.Request{Prompt: 6_000_000, Answer: 800})
-		Expect(v).To(Equal(spread.TooLarge), "more engines than can share one prompt")
+		Expect(v).To(Equal(spread.TooLarge), "needs more engines than can share one prompt")
 	})
 
-	It("are turned away when they would be late themselves", func() {
+	It("are rejected when they would be late themselves", func() {
 		_, v := newFleet(21).place(spread.Request{Prompt: tokens, Answer: 800, Useful: 100 * time.Millisecond})
 		Expect(v).To(Equal(spread.NoRoom))
 	})
 })
 
-var _ = Describe("the mean reading of the last seconds", func() {
-	It("weighs each reading by the time since the one before", func() {
+var _ = Describe("the moving average of the backlog", func() {
+	It("weights each observation by the time since the one before", func() {
 		var m spread.Meter
 		for at := time.Duration(0); at < 20*time.Second; at += 100 * time.Millisecond {
 			m.Observe(at, 300*time.Millisecond)
@@ -440,10 +440,11 @@
 	})
 })
 
-var _ = Describe("reports of a peer that went silent", func() {
-	// Every appeal at one instance waits for nine seconds: a peer reported much to
-	// read, then the link between the two broke, while others still heard the peer.
-	It("are forgotten", func() {
+var _ = Describe("reports of a silent peer", func() {
+	// Guards against deep prompts held for nine seconds at one instance: a peer reported
+	// much prefill, then the link between the two broke, while others still heard the
+	// peer.
+	It("are dropped", func() {
 		l := spread.NewLedger()
 		l.Report(0, "a", true, map[spread.Key]spread.Work{spread.KeyOf("s"): {Load: spread.Load{Unread: time.Second}}})
 		l.Report(2*time.Second, "b", true, map[spread.Key]spread.Work{spread.KeyOf("s"): {Load: spread.Load{Unread: time.Second}}})
--- a/decide/spread/turn.go
+++ b/decide/spread/turn.go
@@ -8,29 +8,28 @@
 	"github.com/auburnmoor/auburnmoor/decide/route"
 )
 
-// Turn is the place of a held prompt in the order of all instances. Every instance
-// works the order out by itself from what does not change, so that it need not be
-// told again as time goes by: told with each change of rank, it made for half of all
-// messages between 75 instances.
+// Turn is the position of a held prompt in the order of all instances. Its fields do not
+// change with time, so every instance computes the order by itself and a prompt is not
+// reported again as its rank changes; such reports were half of all messages between 75
+// instances.
 type Turn struct {
 	Request string
-	// Weight is the length in tokens by which the prompt waits.
+	// Weight is the length in tokens by which the prompt is queued.
 	Weight int64
-	// Since is when the prompt came, by the clock of the instance that compares.
+	// Since is when the prompt arrived, by the clock of the instance that compares.
 	Since time.Duration
-	// Useful is the time within which its first event should come, LateAfter the wait
-	// after which that cannot be any more; both are zero if there is no such time.
+	// Useful is the target for the time to the first event, LateAfter the wait after which
+	// it can no longer be met; both are zero if there is no target.
 	Useful, LateAfter time.Duration
 }
 
-// ageing makes a prompt that waited for as long as its first event is useful rank as
-// one of a sixth of its length. By length alone, one prompt or another of 75
-// instances is always shorter than a large one. An order by arrival would make all
-// prompts of a burst late.
-const ageing = 5
+// ageingFactor ranks a prompt that has waited for its whole target like one of a sixth of
+// its length. By length alone a large prompt would starve, because one of 75 instances
+// always has a shorter one. By arrival alone all prompts of a burst would be late.
+const ageingFactor = 5
 
-// TurnOf returns the place of a prompt that came at since and whose first event is
-// useful within useful.
+// TurnOf returns the turn of a prompt that arrived at since and whose first event is due
+// within useful.
 func TurnOf(e *route.Engine, request string, prompt int64, since, useful time.Duration) Turn {
 	t := Turn{Request: request, Weight: weight(e, prompt), Since: since, Useful: useful}
 	if useful > 0 {
@@ -39,146 +38,144 @@
 	return t
 }
 
-// late reports whether the first event cannot come in time any more.
+// late reports whether the first event can no longer come in time.
 func (t Turn) late(now time.Duration) bool {
 	return t.Useful > 0 && now-t.Since > t.LateAfter
 }
 
-// rank is the weight in tokens, less the longer the prompt waited.
+// rank is the weight, reduced by ageing.
 func (t Turn) rank(now time.Duration) float64 {
 	if t.Useful <= 0 {
 		return float64(t.Weight)
 	}
-	return float64(t.Weight) / (1 + ageing*float64(now-t.Since)/float64(t.Useful))
+	return float64(t.Weight) / (1 + ageingFactor*float64(now-t.Since)/float64(t.Useful))
 }
 
-// before reports whether a prompt goes first: one that can still come in time, then
-// the one of lower rank, since a prompt of half the length takes a quarter of the
+// precedes reports whether t goes before o. A prompt that can still be in time goes first,
+// then the one of lower rank, since a prompt of half the length takes a quarter of the
 // engines' time.
-func (t Turn) before(now time.Duration, o Turn) bool {
+func (t Turn) precedes(now time.Duration, o Turn) bool {
 	if t.late(now) != o.late(now) {
 		return o.late(now)
 	}
 	return cmp.Or(cmp.Compare(t.rank(now), o.rank(now)), cmp.Compare(t.Request, o.Request)) < 0
 }
 
-// TurnBelieved is how long the last word of a peer on its first prompt counts.
-// A peer that froze would have all others wait for it. Peers repeat it every
-// turnRepeat.
+// TurnBelieved is how long a peer's report of its first prompt counts; a peer that
+// hung would otherwise block all others. Peers repeat the report every turnRefresh.
 const (
 	TurnBelieved = 600 * time.Millisecond
-	turnRepeat   = 200 * time.Millisecond
+	turnRefresh  = 200 * time.Millisecond
 )
 
-// Waiting is what an instance tells of the requests that it holds back.
+// Waiting is what an instance reports of the requests that it holds back.
 type Waiting struct {
 	// First is the first of the deep prompts; Held is false if there are none.
 	First Turn
 	Held  bool
-	// ForSlot are the requests that wait for a free slot.
+	// ForSlot is the number of requests that wait for a free slot.
 	ForSlot int
 }
 
 type peerWaiting struct {
 	Waiting
-	heard time.Duration
+	receivedAt time.Duration
 }
 
-// Queue is the order in which instances send the prompts that they hold back.
-// Without it all of them see the same moment in which the engines have read
-// enough, and send before they hear of each other: two prompts then take the
-// same engine, which has the memory for one, and the other keeps all engines
-// that read for it counted as busy until the first is answered. In bursts this
-// stopped all deep prompts for three to five seconds.
+// Queue orders the prompts that all instances hold back. Without the order, several
+// instances would see the engines' backlog fall below the limit at the same moment and
+// send before they hear of each other. Two prompts would then take the same engine, which
+// has memory for one, and the other would keep all its helpers counted as busy until the
+// first is answered. In bursts this stopped all deep prompts for three to five seconds.
 //
-// Each instance tells its first prompt only. Views differ for the time that a
-// report takes, so two prompts may still be sent together; that is safe, just
-// slower. It is not safe for concurrent use.
+// Each instance reports only its first prompt. Views differ for the time that a report
+// takes, so two prompts may still be sent together; that is safe, only slower. Queue is
+// not safe for concurrent use.
 type Queue struct {
-	own     map[string]Turn
+	local   map[string]Turn
 	forSlot int
-	// told is when peers were last told of the own ones.
-	told  time.Duration
-	peers map[string]peerWaiting
+	// lastSent is when peers were last sent the local state.
+	lastSent time.Duration
+	peers    map[string]peerWaiting
 }
 
 // NewQueue returns an empty queue.
-func NewQueue() *Queue { return &Queue{own: map[string]Turn{}, peers: map[string]peerWaiting{}} }
+func NewQueue() *Queue { return &Queue{local: map[string]Turn{}, peers: map[string]peerWaiting{}} }
 
-// Hold notes a prompt that this instance holds back.
-func (q *Queue) Hold(t Turn) { q.own[t.Request] = t }
+// Hold adds a prompt that this instance holds back.
+func (q *Queue) Hold(t Turn) { q.local[t.Request] = t }
 
-// Leave ends what Hold noted.
-func (q *Queue) Leave(request string) { delete(q.own, request) }
+// Leave removes a prompt that Hold added.
+func (q *Queue) Leave(request string) { delete(q.local, request) }
 
-// WaitForSlot adds n to the requests of this instance that wait for a free slot.
+// WaitForSlot adds n, which may be negative, to the requests of this instance that wait
+// for a slot.
 func (q *Queue) WaitForSlot(n int) { q.forSlot += n }
 
 // Own returns what this instance holds back.
 func (q *Queue) Own(now time.Duration) Waiting {
 	w := Waiting{ForSlot: q.forSlot}
-	for _, t := range q.own {
-		if !w.Held || t.before(now, w.First) {
+	for _, t := range q.local {
+		if !w.Held || t.precedes(now, w.First) {
 			w.First, w.Held = t, true
 		}
 	}
 	return w
 }
 
-// Update carries out a change of what this instance holds back and reports whether
-// peers are to be told: of another state than before, and from time to time that
-// something still waits.
+// Update applies a change to what this instance holds back and reports whether peers must
+// be sent the state: when it changed, and periodically while something waits.
 func (q *Queue) Update(now time.Duration, change func(*Queue)) (tell bool) {
-	was := q.Own(now)
+	previous := q.Own(now)
 	change(q)
 	w := q.Own(now)
-	return w != was || w != (Waiting{}) && now-q.told > turnRepeat
+	return w != previous || w != (Waiting{}) && now-q.lastSent > turnRefresh
 }
 
-// Tell returns what peers are told now.
+// Tell returns the state to send to peers, and takes it as sent.
 func (q *Queue) Tell(now time.Duration) Waiting {
-	q.told = now
+	q.lastSent = now
 	return q.Own(now)
 }
 
-// Report takes over what a peer holds back.
+// Report records what a peer holds back.
 func (q *Queue) Report(now time.Duration, peer string, w Waiting) {
 	if w == (Waiting{}) {
 		delete(q.peers, peer)
 		return
 	}
-	q.peers[peer] = peerWaiting{Waiting: w, heard: now}
+	q.peers[peer] = peerWaiting{Waiting: w, receivedAt: now}
 }
 
 // Rivals counts the requests that wait for a free slot at all instances.
 func (q *Queue) Rivals(now time.Duration) int {
 	sum := q.forSlot
 	for _, w := range q.peers {
-		if now-w.heard <= TurnBelieved {
+		if now-w.receivedAt <= TurnBelieved {
 			sum += w.ForSlot
 		}
 	}
 	return sum
 }
 
-// Keep forgets the prompts of peers that are not live.
+// Keep drops the state of peers that are not live.
 func (q *Queue) Keep(live map[string]bool) {
 	maps.DeleteFunc(q.peers, func(peer string, _ peerWaiting) bool { return !live[peer] })
 }
 
-// Behind reports whether a prompt must let another one go first.
+// Behind reports whether another held prompt precedes t.
 func (q *Queue) Behind(now time.Duration, t Turn) bool {
-	for _, o := range q.own {
-		if o.Request != t.Request && o.before(now, t) {
+	for _, o := range q.local {
+		if o.Request != t.Request && o.precedes(now, t) {
 			return true
 		}
 	}
 	for peer, o := range q.peers {
-		if now-o.heard > TurnBelieved {
+		if now-o.receivedAt > TurnBelieved {
 			delete(q.peers, peer)
 			continue
 		}
-		if o.Held && o.First.before(now, t) {
+		if o.Held && o.First.precedes(now, t) {
 			return true
 		}
 	}
--- a/decide/spread/turn_test.go
+++ b/decide/spread/turn_test.go
@@ -9,22 +9,21 @@
 	"github.com/auburnmoor/auburnmoor/decide/spread"
 )
 
-// Every deep prompt of a burst waits for four seconds: instances that hold
-// prompts back all see the moment in which the engines have read enough, and
-// send within milliseconds, before they hear of each other. Two prompts take the
-// same engine, which has memory for one; the other has all engines that read for
-// it counted as busy until the first is answered.
+// Guards against long waits of all deep prompts of a burst: several instances see the
+// engines' backlog fall at the same moment and send before they hear of each other. Two
+// prompts take the same engine, which has memory for one; the helpers of the other count
+// as busy until the first is answered.
 var _ = Describe("prompts held back at several instances", func() {
 	turn := func(id string, tokens int64) spread.Turn { return spread.Turn{Request: id, Weight: tokens} }
 
-	// place is the turn of a prompt that has waited, at the time zero.
-	place := func(id string, tokens int64, waited time.Duration) spread.Turn {
+	// waitedTurn is the turn, at time zero, of a prompt that has waited for that long.
+	waitedTurn := func(id string, tokens int64, waited time.Duration) spread.Turn {
 		return spread.TurnOf(engine, id, tokens, -waited, 4*time.Second)
 	}
 
 	held := func(t spread.Turn) spread.Waiting { return spread.Waiting{First: t, Held: true} }
 
-	It("go one after the other, the smaller first", func() {
+	It("go one at a time, the smaller first", func() {
 		a, b := spread.NewQueue(), spread.NewQueue()
 		a.Hold(turn("x", 200_000))
 		b.Hold(turn("y", 150_000))
@@ -37,14 +36,14 @@
 		Expect(a.Behind(0, turn("x", 200_000))).To(BeFalse())
 	})
 
-	It("are in one order also when they are of one length", func() {
+	It("have one order even if they are equally long", func() {
 		a := spread.NewQueue()
 		a.Report(0, "b", held(turn("y", 100_000)))
 		Expect(a.Behind(0, turn("x", 100_000))).To(BeFalse())
 		Expect(a.Behind(0, turn("z", 100_000))).To(BeTrue())
 	})
 
-	It("let those go first that can still come in time", func() {
+	It("let those go first whose first event can still be in time", func() {
 		a := spread.NewQueue()
 		late := func(id string, tokens int64) spread.Turn {
 			return spread.Turn{Request: id, Weight: tokens, Since: -time.Second, Useful: time.Second, LateAfter: time.Second / 2}
@@ -54,19 +53,20 @@
 		Expect(a.Behind(0, late("x", 300_000))).To(BeTrue())
 	})
 
-	// A prompt of 280,000 tokens is refused after three seconds: at any moment one of
-	// 75 instances holds a smaller one, however short it has waited.
-	It("let one go that has waited long before a smaller one that just came", func() {
+	// Guards against refusing a prompt of 280,000 tokens after three seconds because at
+	// any moment one of 75 instances holds a smaller one, however short its wait.
+	It("let a prompt that has waited long go before a smaller one that just arrived", func() {
 		a := spread.NewQueue()
-		a.Report(0, "b", held(place("y", 200_000, 0)))
-		Expect(a.Behind(0, place("x", 280_000, 300*time.Millisecond))).To(BeTrue())
-		Expect(a.Behind(0, place("x", 280_000, 500*time.Millisecond))).To(BeFalse())
-		a.Report(0, "b", held(place("y", 100_000, 0)))
-		Expect(a.Behind(0, place("x", 280_000, 500*time.Millisecond))).To(BeTrue(), "a much smaller one still goes first")
+		a.Report(0, "b", held(waitedTurn("y", 200_000, 0)))
+		Expect(a.Behind(0, waitedTurn("x", 280_000, 300*time.Millisecond))).To(BeTrue())
+		Expect(a.Behind(0, waitedTurn("x", 280_000, 500*time.Millisecond))).To(BeFalse())
+		a.Report(0, "b", held(waitedTurn("y", 100_000, 0)))
+		Expect(a.Behind(0, waitedTurn("x", 280_000, 500*time.Millisecond))).To(BeTrue(), "a much smaller one still goes first")
 	})
 
-	// Half of all messages between 75 instances told how the rank of a prompt changed.
-	It("are not told again as time goes by", func() {
+	// Reports of the changing rank of a prompt were half of all messages between 75
+	// instances.
+	It("are reported again only periodically while nothing changes", func() {
 		a := spread.NewQueue()
 		hold := func(q *spread.Queue) { q.Hold(spread.TurnOf(engine, "x", 200_000, 0, 4*time.Second)) }
 		Expect(a.Update(0, hold)).To(BeTrue())
@@ -75,16 +75,16 @@
 		Expect(a.Update(300*time.Millisecond, hold)).To(BeTrue(), "a peer may have missed it")
 	})
 
-	// The largest prompts of all are refused while smaller ones that no engine can hold
-	// either go first.
-	It("let prompts larger than an engine go by their arrival", func() {
+	// Guards against refusing the largest prompts because smaller ones that also exceed an
+	// engine go first.
+	It("go by arrival if they are larger than an engine", func() {
 		a := spread.NewQueue()
-		a.Report(0, "b", held(place("y", 320_000, 0)))
-		Expect(a.Behind(0, place("x", 600_000, 10*time.Millisecond))).To(BeFalse())
+		a.Report(0, "b", held(waitedTurn("y", 320_000, 0)))
+		Expect(a.Behind(0, waitedTurn("x", 600_000, 10*time.Millisecond))).To(BeFalse())
 	})
 
-	// All prompts wait for one at an instance that froze, or is gone.
-	It("do not wait for a peer that went silent or left", func() {
+	// A hung or stopped instance must not block the prompts of all others.
+	It("do not wait for a peer that is silent or has left", func() {
 		a := spread.NewQueue()
 		a.Report(0, "b", held(turn("y", 100_000)))
 		Expect(a.Behind(spread.TurnBelieved, turn("x", 200_000))).To(BeTrue())
@@ -94,7 +94,7 @@
 		Expect(a.Behind(time.Second, turn("x", 200_000))).To(BeFalse())
 	})
 
-	It("are placed only when no other goes first", func() {
+	It("are placed only when no other goes first, or at the hold limit", func() {
 		f := newFleet(21)
 		r := spread.Request{Prompt: 200_000, Answer: 800, Behind: true, Patience: 9 * time.Second}
 		_, v := f.place(r)
