--- a/decide/away/away.go
+++ b/decide/away/away.go
@@ -1,8 +1,8 @@
-// Package away keeps which backend servers turned work away though they should have had
-// room for it. Such a server leaves, most of the time, and the store tells so a second
-// later, or not at all while it is down. What one instance learned by a request of a
-// caller all others are told, so that each server that leaves costs a few requests and not
-// a few of each instance.
+// Package away tracks backend servers that rejected work although they should have had
+// capacity for it. Such a server is usually leaving, which the store reports about a
+// second later, or not at all while it is down. Instances share these observations, so
+// that a server that leaves costs a few requests in all rather than a few at each
+// instance.
 //
 // The package does no I/O and reads no clock.
 package away
@@ -18,85 +18,87 @@
 	"github.com/auburnmoor/auburnmoor/decide/backends"
 )
 
-// Times for which a server is passed over.
+// Parameters of the pause in which a server is passed over.
 const (
-	// First is about how long the store takes to tell that a server leaves: a heartbeat of
-	// 1.2 s and the delay of the list.
+	// First is about how long the store takes to report that a server leaves: a heartbeat
+	// of 1.2 s and the delay of the list.
 	First = 1500 * time.Millisecond
-	// most bounds the pauses that double while the store tells nothing. A server that only
-	// had no room after all is missed for that long.
-	most = 6 * time.Second
-	// jitter is the share of a pause by which instances differ in its end, so that one of
-	// them tries the server and tells the others.
-	jitter = 0.25
-	// forgetAfter is how long after its end a pause is the base of a longer one.
-	forgetAfter = 3 * time.Second
+	// maxPause bounds the pauses, which double while the store is silent. A server that
+	// only lacked capacity stays unused for that long.
+	maxPause = 6 * time.Second
+	// jitterShare is the largest share by which peers lengthen a pause at random, so that
+	// one instance tries the server first and informs the others.
+	jitterShare = 0.25
+	// backoffMemory is how long after the end of a pause another rejection doubles it.
+	backoffMemory = 3 * time.Second
 )
 
-// Key stands for one life of a server.
+// Key is a hash that identifies one life of a server, from its start to its end.
 type Key uint32
 
-// KeyOf returns the key of a life of a server. Another life is another server.
+// KeyOf returns the key of a server in its present life. A restarted server has another
+// key.
 func KeyOf(s backends.Server) Key {
 	return Key(xxhash.Sum64String(s.ID + "\x00" + strconv.FormatInt(int64(s.Life), 10)))
 }
 
-// Table is what one instance knows of servers that turned work away. It is not safe for
-// concurrent use.
+// Table holds the servers that rejected work, as one instance knows them. It is not safe
+// for concurrent use.
 type Table struct {
 	entries map[Key]entry
-	// draw returns numbers evenly from zero to one.
+	// draw returns a uniform random number from [0, 1).
 	draw func() float64
 }
 
 type entry struct {
 	until, pause time.Duration
-	// own tells that this instance saw it itself and has others told.
-	own bool
+	// observed is set if this instance saw the rejection itself and reports it to peers.
+	observed bool
 }
 
 // NewTable returns an empty table.
 func NewTable(draw func() float64) *Table { return &Table{entries: map[Key]entry{}, draw: draw} }
 
-// TurnedAway notes that a server turned work of this instance away. silent tells that the
-// store has told nothing for a while: only then a second time in a row means that the
-// server stays away for longer. It returns for how long the server is passed over, and
-// whether it was not before.
-func (t *Table) TurnedAway(now time.Duration, server Key, silent bool) (pause time.Duration, fresh bool) {
+// TurnedAway records that a server rejected work of this instance. storeSilent reports
+// that the store has not answered for a while: only then does a repeated rejection
+// lengthen the pause. It returns the pause, and whether the server was not yet passed
+// over.
+func (t *Table) TurnedAway(now time.Duration, server Key, storeSilent bool) (pause time.Duration, fresh bool) {
 	e, known := t.entries[server]
 	pause, fresh = First, true
-	if known && silent && now <= e.until+forgetAfter {
-		pause = min(2*max(e.pause, First), most)
+	if known && storeSilent && now <= e.until+backoffMemory {
+		pause = min(2*max(e.pause, First), maxPause)
 	}
 	if known && now < e.until {
-		// A request that was on its way when the first one was turned away.
+		// The request was already on its way when an earlier one was rejected.
 		pause, fresh = max(e.pause, First), false
 	}
-	t.entries[server] = entry{until: now + pause, pause: pause, own: true}
+	t.entries[server] = entry{until: now + pause, pause: pause, observed: true}
 	return pause, fresh
 }
 
-// Told notes what a peer saw, and how long it passes over the server still.
+// Told records what a peer observed, and for how long it still passes over the server.
 func (t *Table) Told(now time.Duration, server Key, left time.Duration) {
-	left = min(left, most)
+	left = min(left, maxPause)
 	if e := t.entries[server]; left <= 0 || now+left <= e.until {
 		return
 	}
-	pause := time.Duration(float64(left) * (1 + jitter*t.draw()))
+	pause := time.Duration(float64(left) * (1 + jitterShare*t.draw()))
 	t.entries[server] = entry{until: now + pause, pause: left}
 }
 
-// leastPresent is the share of a service's servers from which those are passed over that
-// turned work away. If even more did so they have no room, and do not leave.
-const leastPresent = 0.5
+// minPresentShare is the least share of a service's servers that must remain. If more than
+// half reject work, they lack capacity rather than leave.
+const minPresentShare = 0.5
 
-// Present returns the servers that are not passed over, or all if too few would be left.
+// Present returns the servers that are not passed over, or all of them if too few would
+// remain.
 func (t *Table) Present(now time.Duration, servers []backends.Server) []backends.Server {
 	if len(t.entries) == 0 {
 		return servers
 	}
 	present := slices.DeleteFunc(slices.Clone(servers), func(s backends.Server) bool { return t.Out(now, KeyOf(s)) })
-	if len(present) < int(math.Ceil(leastPresent*float64(len(servers)))) {
+	if len(present) < int(math.Ceil(minPresentShare*float64(len(servers)))) {
 		return servers
 	}
 	return present
@@ -105,15 +107,15 @@
 // Out reports whether a server is passed over.
 func (t *Table) Out(now time.Duration, server Key) bool { return now < t.entries[server].until }
 
-// Tell returns the servers that this instance saw turn work away, and for how long it
-// passes over them still.
+// Tell returns the servers that rejected work of this instance, and for how long it still
+// passes over them.
 func (t *Table) Tell(now time.Duration) map[Key]time.Duration {
 	var out map[Key]time.Duration
 	for server, e := range t.entries {
 		switch {
-		case now > e.until+forgetAfter:
+		case now > e.until+backoffMemory:
 			delete(t.entries, server)
-		case e.own && now < e.until:
+		case e.observed && now < e.until:
 			if out == nil {
 				out = map[Key]time.Duration{}
 			}
