--- a/decide/spread/group.go
+++ b/decide/spread/group.go
@@ -70,11 +70,11 @@
 	server backends.Server
 	// ready is when the engine could finish the prefill of an empty part.
 	ready time.Duration
-	// gap is the predicted gap in its answers without a part. If a part makes it exceed
+	// predictedGap is the gap in its answers without a part. If a part makes it exceed
 	// the tightest limit of the service, answers to prompts that are not deep lose
 	// tightValue; if it exceeds the limit of the request's own route, answers to deep ones
 	// lose looseValue.
-	gap                    time.Duration
+	predictedGap           time.Duration
 	tightValue, looseValue float64
 	// harm is the value lost by the part under consideration.
 	harm float64
@@ -87,7 +87,7 @@
 		return k
 	}
 	each := value(l.HeldTokens/l.Calls) * (1 - lateValue)
-	k.gap = Pass(c.engine, l) + l.Read + gapMargin
+	k.predictedGap = Pass(c.engine, l) + l.Read + gapMargin
 	k.tightValue, k.looseValue = float64(l.Calls-l.LongCalls)*each, float64(l.LongCalls)*each
 	return k
 }
@@ -95,7 +95,7 @@
 // engineHarm is the value that the answers on an engine lose by the gap that a part
 // causes.
 func (c *chooser) engineHarm(k candidate, part time.Duration) (harm float64) {
-	gap := k.gap + part
+	gap := k.predictedGap + part
 	if k.tightValue > 0 && c.req.Tightest > 0 && gap > c.req.Tightest {
 		harm += k.tightValue
 	}
--- a/decide/spread/ledger.go
+++ b/decide/spread/ledger.go
@@ -33,8 +33,8 @@
 
 // account is the work of one instance on one server, with due times by the ledger's clock.
 type account struct {
-	load  Load
-	reads []Read
+	load     Load
+	prefills []Read
 }
 
 // sum is the whole work, pending prefill included.
@@ -43,7 +43,7 @@
 		return Load{}
 	}
 	sum := a.load
-	for _, r := range a.reads {
+	for _, r := range a.prefills {
 		sum.Read += r.Time
 	}
 	return sum
@@ -55,7 +55,7 @@
 		return Work{}
 	}
 	w := Work{Load: a.load}
-	for _, r := range a.reads {
+	for _, r := range a.prefills {
 		w.Reads = append(w.Reads, Read{Time: r.Time, Due: r.Due - now})
 	}
 	return w
@@ -67,12 +67,12 @@
 // Ledger adds up the work of this instance and what peers report of theirs. It is not safe
 // for concurrent use.
 type Ledger struct {
-	local      accounts
-	peers      map[string]accounts
-	lastReport map[string]time.Duration
-	total      map[Key]Load
-	changed    map[Key]bool
-	ends       endHeap
+	local       accounts
+	peers       map[string]accounts
+	lastReport  map[string]time.Duration
+	total       map[Key]Load
+	changed     map[Key]bool
+	prefillEnds endHeap
 }
 
 // NewLedger returns an empty ledger.
@@ -109,12 +109,12 @@
 	l.change(l.local, k, func(a *account) {
 		a.load = a.load.plus(p.Load.Minus(Load{Read: p.Load.Read}))
 		if r.Time > 0 {
-			a.reads = append(a.reads, r)
+			a.prefills = append(a.prefills, r)
 		}
 	})
 	l.changed[k] = true
 	if r.Time > 0 {
-		heap.Push(&l.ends, endEvent{at: r.Due, server: k})
+		heap.Push(&l.prefillEnds, endEvent{at: r.Due, server: k})
 	}
 	return r
 }
@@ -124,19 +124,19 @@
 // server.
 func (l *Ledger) EndRead(server string, r Read) {
 	k := KeyOf(server)
-	if a := l.local[k]; a == nil || !slices.Contains(a.reads, r) {
+	if a := l.local[k]; a == nil || !slices.Contains(a.prefills, r) {
 		return
 	}
 	l.change(l.local, k, func(a *account) {
-		i := slices.Index(a.reads, r)
-		a.reads = slices.Delete(a.reads, i, i+1)
+		i := slices.Index(a.prefills, r)
+		a.prefills = slices.Delete(a.prefills, i, i+1)
 	})
 }
 
 // Advance ends the prefills that are due.
 func (l *Ledger) Advance(now time.Duration) {
-	for len(l.ends) > 0 && l.ends[0].at <= now {
-		d := heap.Pop(&l.ends).(endEvent)
+	for len(l.prefillEnds) > 0 && l.prefillEnds[0].at <= now {
+		d := heap.Pop(&l.prefillEnds).(endEvent)
 		target := l.local
 		if d.peer != "" {
 			target = l.peers[d.peer]
@@ -145,7 +145,7 @@
 			continue
 		}
 		l.change(target, d.server, func(a *account) {
-			a.reads = slices.DeleteFunc(a.reads, func(r Read) bool { return r.Due <= now })
+			a.prefills = slices.DeleteFunc(a.prefills, func(r Read) bool { return r.Due <= now })
 		})
 	}
 }
@@ -159,7 +159,7 @@
 	}
 	previous := a.sum()
 	f(a)
-	if a.load == (Load{}) && len(a.reads) == 0 {
+	if a.load == (Load{}) && len(a.prefills) == 0 {
 		delete(target, server)
 	}
 	sum := l.total[server].Minus(previous).plus(a.sum())
@@ -195,13 +195,13 @@
 
 func (l *Ledger) setPeerWork(now time.Duration, peer string, server Key, w Work) {
 	l.change(l.peers[peer], server, func(a *account) {
-		a.load, a.reads = w.Load, a.reads[:0]
+		a.load, a.prefills = w.Load, a.prefills[:0]
 		for _, r := range w.Reads {
 			if r.Due <= 0 {
 				continue
 			}
-			a.reads = append(a.reads, Read{Time: r.Time, Due: now + r.Due})
-			heap.Push(&l.ends, endEvent{at: now + r.Due, peer: peer, server: server})
+			a.prefills = append(a.prefills, Read{Time: r.Time, Due: now + r.Due})
+			heap.Push(&l.prefillEnds, endEvent{at: now + r.Due, peer: peer, server: server})
 		}
 	})
 }
