--- a/control/claims/claims.go
+++ b/control/claims/claims.go
@@ -96,13 +96,13 @@
 func (c *Claims) config() claim.Config {
 	cfg := claim.DefaultConfig()
 	if c.Spacing > 0 {
-		cfg.Spacing = c.Spacing.Std()
+		cfg.MinCommitInterval = c.Spacing.Std()
 	}
 	if c.KeepKeys > 0 {
-		cfg.KeepKeys = c.KeepKeys.Std()
+		cfg.KeyRetention = c.KeepKeys.Std()
 	}
 	if c.KeepAnswers > 0 {
-		cfg.KeepAnswers = c.KeepAnswers.Std()
+		cfg.AnswerRetention = c.KeepAnswers.Std()
 	}
 	return cfg
 }
--- a/decide/claim/claim.go
+++ b/decide/claim/claim.go
@@ -1,11 +1,14 @@
-// Package claim lets a request that may not be repeated run at most once over
-// all instances. A key is claimed in a ledger in the object API before its
-// request may be handed to a backend server.
+// Package claim guarantees that a request that must not be repeated runs at most once
+// across all instances. Its idempotency key is claimed in a ledger, kept in the object API,
+// before the request may be sent to a backend server.
 //
-// Keys are divided into shards; each shard has one owner at a time, which
-// commits claims in groups by a conditional update of the shard's last
-// segment. A new owner first writes that segment itself, so a deposed owner's
-// next update fails: two owners at once cost speed, never a second run.
+// Keys are divided into shards. Each shard has one owner at a time, which commits claims in
+// batches by a conditional update of the shard's last segment. A new owner first writes
+// that segment itself, which fences off the previous owner: its next update fails. Two
+// concurrent owners cost throughput but never run a request twice.
+//
+// The store's era increases each time the store is restored from an older copy and may have
+// lost recent writes.
 //
 // The package does no I/O and reads no clock.
 package claim
@@ -22,43 +25,43 @@
 	"github.com/auburnmoor/auburnmoor/port/objectapi"
 )
 
-// Shards is the number of ledgers. With Config.Spacing it bounds the writes of
-// the whole fleet, whatever the load.
+// Shards is the number of ledgers. Together with Config.MinCommitInterval it bounds the
+// write rate of the whole fleet, whatever the load.
 const Shards = 8
 
-// Config tunes the ledgers.
+// Config holds the limits of the ledgers.
 type Config struct {
-	// Spacing is the least time between two commits of a shard.
-	Spacing time.Duration
-	// Patience is how long a claim waits for its commit before it is refused
-	// as not run.
-	Patience time.Duration
-	// MaxWaiting bounds the claims waiting in a shard.
+	// MinCommitInterval is the minimum time between two commits of a shard.
+	MinCommitInterval time.Duration
+	// ClaimTimeout is how long a claim waits for its commit before it is refused as not
+	// run.
+	ClaimTimeout time.Duration
+	// MaxWaiting bounds the claims that wait in a shard.
 	MaxWaiting int
 	// SegmentBytes is the size at which a segment is sealed.
 	SegmentBytes int
-	// KeepKeys is how long a key is remembered; KeepAnswers how long an answer
+	// KeyRetention is how long a key is remembered, AnswerRetention how long an answer
 	// stays available.
-	KeepKeys    time.Duration
-	KeepAnswers time.Duration
-	// LedgerAnswer is the largest answer in bytes that is written to the ledger
-	// and survives its owner; MaxAnswers bounds the answers in memory in bytes.
-	LedgerAnswer int
-	MaxAnswers   int
+	KeyRetention    time.Duration
+	AnswerRetention time.Duration
+	// MaxLedgerAnswer is the largest answer, in bytes, that is written to the ledger and so
+	// survives its owner. MaxAnswerMemory bounds the answers kept in memory, in bytes.
+	MaxLedgerAnswer int
+	MaxAnswerMemory int
 }
 
-// DefaultConfig returns the values chosen by measurement.
+// DefaultConfig returns the default limits.
 func DefaultConfig() Config {
 	return Config{
-		Spacing: 100 * time.Millisecond, Patience: 3 * time.Second, MaxWaiting: 1024, SegmentBytes: 64 << 10,
-		KeepKeys: 24 * time.Hour, KeepAnswers: 10 * time.Minute, LedgerAnswer: 2 << 10, MaxAnswers: 16 << 20,
+		MinCommitInterval: 100 * time.Millisecond, ClaimTimeout: 3 * time.Second, MaxWaiting: 1024, SegmentBytes: 64 << 10,
+		KeyRetention: 24 * time.Hour, AnswerRetention: 10 * time.Minute, MaxLedgerAnswer: 2 << 10, MaxAnswerMemory: 16 << 20,
 	}
 }
 
-// Key is the hash of a customer's idempotency key.
+// Key is the hash of a customer name and its idempotency key.
 type Key struct{ Hi, Lo uint64 }
 
-// KeyOf hashes a customer's key to 128 bits.
+// KeyOf hashes a customer's idempotency key to 128 bits.
 func KeyOf(customer, key string) Key {
 	var d xxhash.Digest
 	d.Reset()
@@ -72,10 +75,10 @@
 	return Key{Hi: hi, Lo: d.Sum64()}
 }
 
-// Shard returns the ledger that a key belongs to.
+// Shard returns the index of the ledger that holds the key.
 func (k Key) Shard() int { return int(k.Lo % Shards) }
 
-// ShardName is the name by which a shard's owner is derived.
+// ShardName is the name from which a shard's owner is derived.
 func ShardName(i int) string { return fmt.Sprintf("claims/%02d", i) }
 
 // OwnerOf returns the member that owns the ledger of a customer's key.
@@ -83,7 +86,7 @@
 	return place.Owner(ShardName(KeyOf(customer, key).Shard()), members)
 }
 
-// OwnedBy returns the ledgers that self owns among the members.
+// ShardsOwnedBy returns the ledgers that self owns among the members.
 func OwnedBy(self string, members []string) Owned {
 	var o Owned
 	for i := range o.Shards {
@@ -95,20 +98,20 @@
 // Event is an input of a Machine.
 type Event interface{ event() }
 
-// Claimed asks for a claim on behalf of an instance.
+// ClaimRequested asks for a claim on behalf of an instance.
 type Claimed struct {
 	From  string
 	Claim *peerpb.Claim
 }
 
-// Resulted records where a claimed request runs, its answer or that it did not
+// ResultReported tells where a claimed request runs, what its answer is or that it did not
 // run.
 type Resulted struct{ Result *peerpb.ClaimResult }
 
-// Owned replaces the set of shards that this instance owns.
+// OwnershipChanged replaces the set of shards that this instance owns.
 type Owned struct{ Shards [Shards]bool }
 
-// Listed answers a List; a nil error means that Objects is complete.
+// Listed answers a List. Objects is complete if Err is nil.
 type Listed struct {
 	Shard   int
 	Objects []objectapi.Object
@@ -125,14 +128,15 @@
 	Err     error
 }
 
-// EraBegan tells that the store came back from an older copy, as of this era.
+// EraBegan reports the store's era. An era later than the known one means that the store
+// was restored from an older copy.
 type EraBegan struct{ Era uint64 }
 
-// Reclaimed tells of a claim that was granted to the instance that sends it, which may
-// run the request or have answered it. The store may have lost it.
+// Reclaimed repeats a claim that was granted to the sending instance before the store was
+// restored and that the store may have lost. That instance may have run the request.
 type Reclaimed struct{ Claim *peerpb.Reclaim }
 
-// Tick lets time pass.
+// Tick triggers timeouts, retries and expiry.
 type Tick struct{}
 
 func (EraBegan) event()  {}
@@ -162,14 +166,14 @@
 // Write updates a segment conditionally.
 type Write struct {
 	Shard int
-	// ID tells the answers to different writes of one object apart.
+	// ID distinguishes the answers to different writes of one object.
 	ID     string
 	Key    string
 	Value  []byte
 	Expect uint64
 }
 
-// Remove deletes a segment whose keys need not be remembered any more.
+// Remove deletes a segment whose keys have all expired.
 type Remove struct {
 	Key    string
 	Expect uint64
@@ -180,18 +184,18 @@
 func (Write) action()  {}
 func (Remove) action() {}
 
-// Machine holds the ledgers of one instance.
+// Machine is the state machine that runs the ledgers of one instance.
 type Machine struct {
 	self   string
 	cfg    Config
 	shards [Shards]*shard
-	// era is the newest era of the store that is known of.
+	// era is the newest known era of the store.
 	era  uint64
 	unix int64
 	out  []Action
 }
 
-// New returns a machine that owns nothing.
+// New returns a machine that owns no shards.
 func New(self string, cfg Config) *Machine {
 	m := &Machine{self: self, cfg: cfg}
 	for i := range m.shards {
@@ -200,28 +204,29 @@
 	return m
 }
 
-// Step takes an event. Now is monotonic; unix is the wall clock in seconds and
-// only serves to expire old segments.
+// Step handles an event and returns the resulting actions, which are valid until the next
+// call. now is monotonic; unix is the wall clock in seconds and is only used to expire old
+// segments.
 func (m *Machine) Step(now time.Duration, unix int64, ev Event) []Action {
 	m.out, m.unix = m.out[:0], unix
 	switch ev := ev.(type) {
 	case EraBegan:
 		m.beginEra(now, ev.Era)
 	case Reclaimed:
-		m.shards[KeyOf(ev.Claim.Customer, ev.Claim.Key).Shard()].reclaim(now, ev.Claim)
+		m.shards[KeyOf(ev.Claim.Customer, ev.Claim.Key).Shard()].handleReclaim(now, ev.Claim)
 	case Claimed:
-		m.shards[KeyOf(ev.Claim.Customer, ev.Claim.Key).Shard()].claim(now, ev)
+		m.shards[KeyOf(ev.Claim.Customer, ev.Claim.Key).Shard()].handleClaim(now, ev)
 	case Resulted:
-		m.shards[KeyOf(ev.Result.Customer, ev.Result.Key).Shard()].result(now, ev.Result)
+		m.shards[KeyOf(ev.Result.Customer, ev.Result.Key).Shard()].handleResult(now, ev.Result)
 	case Owned:
 		for i, s := range m.shards {
 			s.setOwned(now, ev.Shards[i])
 		}
 	case Listed:
 		m.beginEra(now, ev.Era)
-		m.shards[ev.Shard].listed(now, ev)
+		m.shards[ev.Shard].handleListed(now, ev)
 	case Written:
-		m.shards[ev.Shard].written(now, ev)
+		m.shards[ev.Shard].handleWritten(now, ev)
 	case Tick:
 		for _, s := range m.shards {
 			s.tick(now)
@@ -230,7 +235,7 @@
 	return m.out
 }
 
-// beginEra has all ledgers read again when the store came back from an older copy.
+// beginEra reads all ledgers again after the store was restored from an older copy.
 func (m *Machine) beginEra(now time.Duration, era uint64) {
 	if era <= m.era {
 		return
@@ -245,9 +250,9 @@
 	}
 }
 
-func (m *Machine) act(a Action) { m.out = append(m.out, a) }
+func (m *Machine) emit(a Action) { m.out = append(m.out, a) }
 
-// Dump describes the ledgers.
+// Dump describes the owned ledgers.
 type Dump struct {
 	Shards []ShardDump `json:"shards"`
 }
--- a/decide/claim/claim_test.go
+++ b/decide/claim/claim_test.go
@@ -17,13 +17,13 @@
 	testkit.Suite(t, "claim")
 }
 
-// fakeStore carries out the actions of machines on one map.
+// fakeStore executes the store calls of machines on a map.
 type fakeStore struct {
 	objects map[string]objectapi.Object
 	version uint64
-	// lose drops the replies of writes that took effect; down refuses all.
-	lose, down bool
-	writes     int
+	// loseReplies drops the replies of writes that took effect; down fails all calls.
+	loseReplies, down bool
+	writes            int
 }
 
 func newFakeStore() *fakeStore { return &fakeStore{objects: map[string]objectapi.Object{}} }
@@ -40,7 +40,7 @@
 		s.version++
 		s.objects[a.Key] = objectapi.Object{Key: a.Key, Version: s.version, Value: a.Value}
 		out.Version = s.version
-		if s.lose {
+		if s.loseReplies {
 			out.Err = objectapi.ErrUnknown
 		}
 	}
@@ -68,7 +68,7 @@
 	now     time.Duration
 	unix    int64
 	replies map[string]*peerpb.ClaimReply
-	// held keeps store calls back until release.
+	// held are the store calls delayed until release while hold is set.
 	hold bool
 	held []claim.Action
 }
@@ -111,14 +111,14 @@
 	}
 }
 
-func (h *host) pass(d time.Duration) {
+func (h *host) advance(d time.Duration) {
 	for end := h.now + d; h.now < end; {
 		h.now += 50 * time.Millisecond
 		h.step(claim.Tick{})
 	}
 }
 
-func everyShard() claim.Owned {
+func allShards() claim.Owned {
 	var o claim.Owned
 	for i := range o.Shards {
 		o.Shards[i] = true
@@ -126,9 +126,9 @@
 	return o
 }
 
-func (h *host) ask(key, request string) { h.askBody(key, request, 7) }
+func (h *host) sendClaim(key, request string) { h.sendClaimWithBody(key, request, 7) }
 
-func (h *host) askBody(key, request string, body uint64) {
+func (h *host) sendClaimWithBody(key, request string, body uint64) {
 	h.step(claim.Claimed{From: "entry", Claim: &peerpb.Claim{Customer: "c", Key: key, RequestId: request, BodyHash: body}})
 }
 
@@ -141,7 +141,7 @@
 
 const (
 	granted     = peerpb.ClaimState_CLAIM_GRANTED
-	runningNow  = peerpb.ClaimState_CLAIM_RUNNING
+	running     = peerpb.ClaimState_CLAIM_RUNNING
 	done        = peerpb.ClaimState_CLAIM_DONE
 	unavailable = peerpb.ClaimState_CLAIM_UNAVAILABLE
 	unknown     = peerpb.ClaimState_CLAIM_UNKNOWN
@@ -154,130 +154,128 @@
 	BeforeEach(func() {
 		store = newFakeStore()
 		a = newHost("a", store)
-		a.step(everyShard())
+		a.step(allShards())
 	})
 
-	It("grants a key to one of two requests and answers the other with its result", func() {
-		a.ask("k", "r1")
-		a.ask("k", "r2")
+	It("grants a key to one of two requests and answers others with its state or result", func() {
+		a.sendClaim("k", "r1")
+		a.sendClaim("k", "r2")
 		Expect(a.state("r1")).To(Equal(granted))
-		Expect(a.state("r2")).To(Equal(runningNow))
+		Expect(a.state("r2")).To(Equal(running))
 		a.step(claim.Resulted{Result: &peerpb.ClaimResult{Customer: "c", Key: "k", RequestId: "r1", Status: 201, Answer: []byte("label 1")}})
-		a.ask("k", "r3")
+		a.sendClaim("k", "r3")
 		Expect(a.state("r3")).To(Equal(done))
 		Expect(string(a.replies["r3"].Answer)).To(Equal("label 1"))
 	})
 
-	It("refuses a key that was used with another body", func() {
-		a.askBody("k", "r1", 7)
-		a.askBody("k", "r2", 8)
+	It("refuses a key that was used with a different body", func() {
+		a.sendClaimWithBody("k", "r1", 7)
+		a.sendClaimWithBody("k", "r2", 8)
 		Expect(a.state("r2")).To(Equal(peerpb.ClaimState_CLAIM_MISMATCH))
 	})
 
-	It("commits many claims in few writes", func() {
+	It("commits many claims in a few batched writes", func() {
 		before := store.writes
 		for i := range 400 {
-			a.ask(string(rune('a'+i%26))+string(rune('a'+i/26)), "r"+string(rune(1000+i)))
+			a.sendClaim(string(rune('a'+i%26))+string(rune('a'+i/26)), "r"+string(rune(1000+i)))
 		}
-		a.pass(2 * time.Second)
-		Expect(store.writes-before).To(BeNumerically("<=", 3*claim.Shards), "a write for each of 400 claims")
+		a.advance(2 * time.Second)
+		Expect(store.writes-before).To(BeNumerically("<=", 3*claim.Shards), "400 claims were not batched")
 	})
 
-	// A caller is charged twice: instance a claims the key, the reply of its
-	// write is lost, and a repeats the write as if it had failed. Meanwhile b
-	// owns the ledger and granted the key. Cause: an unknown outcome taken for
-	// a failure.
-	It("finds its own write after a lost reply instead of guessing", func() {
-		store.lose = true
-		a.ask("k", "r1")
+	// Guards against a duplicate run after a lost reply: instance a's write takes effect, a
+	// repeats it as if it had failed, and b has granted the key meanwhile. An unknown
+	// outcome must not be treated as a failure.
+	It("reads back its own write after a lost reply", func() {
+		store.loseReplies = true
+		a.sendClaim("k", "r1")
 		Expect(a.state("r1")).To(Equal(unknown))
-		store.lose = false
-		a.pass(time.Second)
+		store.loseReplies = false
+		a.advance(time.Second)
 		Expect(a.state("r1")).To(Equal(granted))
-		a.ask("k", "r2")
-		Expect(a.state("r2")).To(Equal(runningNow))
+		a.sendClaim("k", "r2")
+		Expect(a.state("r2")).To(Equal(running))
 	})
 
-	// A label prints twice: a owns the ledger, stops answering, b takes it over
-	// and grants the key; a wakes with its claim still in flight and grants it
-	// too. Cause: two owners of one ledger. The fencing write of b makes the
-	// write of a fail.
-	It("lets a deposed owner grant nothing", func() {
-		a.ask("warm", "r0")
+	// Guards against a duplicate run with two owners of one ledger: a stalls with a write
+	// in flight, b takes the ledger over and grants the key, then a resumes. The fencing
+	// write of b must make the write of a fail.
+	It("does not grant claims as a deposed owner", func() {
+		a.sendClaim("warm", "r0")
 		a.hold = true
-		a.ask("k", "r1")
+		a.sendClaim("k", "r1")
 		b := newHost("b", store)
-		b.step(everyShard())
-		b.ask("k", "r2")
+		b.step(allShards())
+		b.sendClaim("k", "r2")
 		Expect(b.state("r2")).To(Equal(granted))
 		a.release()
-		a.pass(time.Second)
+		a.advance(time.Second)
 		Expect(a.state("r1")).NotTo(Equal(granted))
 	})
 
-	It("remembers keys over a change of owner", func() {
-		a.ask("k", "r1")
+	It("keeps keys across a change of owner", func() {
+		a.sendClaim("k", "r1")
 		b := newHost("b", store)
-		b.step(everyShard())
-		b.ask("k", "r2")
-		Expect(b.state("r2")).To(Equal(runningNow))
+		b.step(allShards())
+		b.sendClaim("k", "r2")
+		Expect(b.state("r2")).To(Equal(running))
 		Expect(b.replies["r2"].Runner).To(Equal("r1"))
 	})
 
-	// A caller is told "not run" and repeats the key, but is answered "running"
-	// for ever: the store was slow, the claim expired, and its write took effect
-	// later. Cause: a committed claim that nobody was granted.
-	It("frees a key whose claim took effect after it was refused", func() {
+	// Guards against a key that stays in state "running" for ever: the store was slow, the
+	// claim expired and was refused as not run, and its write took effect later, so that
+	// the committed claim was granted to nobody.
+	It("grants a key again whose claim was committed after it was refused", func() {
 		store.down = true
-		a.ask("k", "r1")
-		a.pass(4 * time.Second)
+		a.sendClaim("k", "r1")
+		a.advance(4 * time.Second)
 		Expect(a.state("r1")).To(Equal(unavailable))
 		store.down = false
-		a.pass(2 * time.Second)
-		a.ask("k", "r2")
-		a.pass(time.Second)
+		a.advance(2 * time.Second)
+		a.sendClaim("k", "r2")
+		a.advance(time.Second)
 		Expect(a.state("r2")).To(Equal(granted))
 	})
 
 	It("releases a key whose request did not run", func() {
-		a.ask("k", "r1")
+		a.sendClaim("k", "r1")
 		a.step(claim.Resulted{Result: &peerpb.ClaimResult{Customer: "c", Key: "k", RequestId: "r1", NotRun: true}})
-		a.ask("k", "r2")
-		a.pass(time.Second)
+		a.sendClaim("k", "r2")
+		a.advance(time.Second)
 		Expect(a.state("r2")).To(Equal(granted))
 	})
 
-	It("tells where a model request runs, also after a change of owner", func() {
-		a.ask("k", "r1")
+	It("reports where a model request runs, also after a change of owner", func() {
+		a.sendClaim("k", "r1")
 		a.step(claim.Resulted{Result: &peerpb.ClaimResult{Customer: "c", Key: "k", RequestId: "r1", Engine: "e1", Stream: "r1.1"}})
-		a.pass(time.Second)
+		a.advance(time.Second)
 		b := newHost("b", store)
-		b.step(everyShard())
-		b.ask("k", "r2")
+		b.step(allShards())
+		b.sendClaim("k", "r2")
 		Expect(b.replies["r2"].Engine).To(Equal("e1"))
 		Expect(b.replies["r2"].Stream).To(Equal("r1.1"))
 	})
 
-	It("rolls segments and removes them only after both clocks agree", func() {
+	It("rolls segments and removes them only once expired by both the wall and the monotonic clock", func() {
 		cfg := claim.DefaultConfig()
 		cfg.SegmentBytes = 4 << 10
 		a.m = claim.New("a", cfg)
-		a.step(everyShard())
+		a.step(allShards())
 		for i := range 2000 {
-			a.ask("key"+time.Duration(i).String(), "r"+time.Duration(i).String())
+			a.sendClaim("key"+time.Duration(i).String(), "r"+time.Duration(i).String())
 			if i%20 == 0 {
-				a.pass(100 * time.Millisecond)
+				a.advance(100 * time.Millisecond)
 			}
 		}
 		rolled := len(store.objects)
-		Expect(rolled).To(BeNumerically(">", claim.Shards), "no segment was rolled")
-		// The wall clock jumps ahead by two days; nothing may be forgotten yet.
+		Expect(rolled).To(BeNumerically(">", claim.Shards), "no segment was rolled over")
+		// The wall clock jumps ahead by two days, which must not expire any segment yet.
 		fresh := newHost("b", store)
 		fresh.unix += 2 * 24 * 3600
-		fresh.step(everyShard())
-		fresh.pass(time.Minute)
+		fresh.step(allShards())
+		fresh.advance(time.Minute)
 		Expect(len(store.objects)).To(BeNumerically(">=", rolled))
-		fresh.pass(15 * time.Minute)
+		fresh.advance(15 * time.Minute)
 		Expect(len(store.objects)).To(BeNumerically("<", rolled))
 	})
 })
--- a/decide/claim/reclaim.go
+++ b/decide/claim/reclaim.go
@@ -6,57 +6,58 @@
 	"github.com/auburnmoor/auburnmoor/peerpb"
 )
 
-// Times of what is told again.
+// Limits for repeating claims after the store was restored from an older copy.
 const (
-	// copyAge is the most that the store may have lost.
-	copyAge = time.Minute
-	// retellFor is how long an instance tells of its claims after a new era: a ledger
-	// whose owner ended with the store's last era gets a new one only once the members
-	// have noticed.
-	retellFor, retellEvery = 15 * time.Second, time.Second
-	// mostGranted bounds the claims that an instance remembers for that.
-	mostGranted = 4096
+	// maxCopyAge is the maximum age of the copy, and so of the writes that the store may
+	// have lost.
+	maxCopyAge = time.Minute
+	// An instance repeats its claims every reclaimInterval for reclaimPeriod. A ledger
+	// whose owner fails together with the store gets a new owner only after the members
+	// have detected the failure.
+	reclaimPeriod, reclaimInterval = 15 * time.Second, time.Second
+	// maxGrantedClaims bounds the claims that an instance remembers.
+	maxGrantedClaims = 4096
 )
 
-// Granted keeps the claims that were granted to one instance, to tell of them when the
-// store may have lost them.
+// GrantLog remembers the recent claims that were granted to one instance, so that they can
+// be repeated to the ledgers' owners when the store may have lost them.
 type Granted struct {
-	claims []granted
-	era    uint64
-	until  time.Duration
-	nextAt time.Duration
+	claims      []grantedClaim
+	era         uint64
+	resendUntil time.Duration
+	resendAt    time.Duration
 }
 
-type granted struct {
+type grantedClaim struct {
 	claim *peerpb.Reclaim
 	at    time.Duration
 }
 
-// Add notes a claim that was granted.
+// Add records a granted claim.
 func (g *Granted) Add(now time.Duration, c *peerpb.Claim) {
-	for len(g.claims) > 0 && (now-g.claims[0].at > copyAge || len(g.claims) >= mostGranted) {
+	for len(g.claims) > 0 && (now-g.claims[0].at > maxCopyAge || len(g.claims) >= maxGrantedClaims) {
 		g.claims = g.claims[1:]
 	}
 	r := &peerpb.Reclaim{Customer: c.Customer, Key: c.Key, BodyHash: c.BodyHash, RequestId: c.RequestId}
-	g.claims = append(g.claims, granted{r, now})
+	g.claims = append(g.claims, grantedClaim{r, now})
 }
 
-// Due returns the claims to tell the owners of their ledgers of now, given the store's
-// newest era that is known of.
+// NextReclaims returns the claims to repeat to the owners of their ledgers now, given the
+// newest known era of the store.
 func (g *Granted) Due(now time.Duration, era uint64) []*peerpb.Reclaim {
 	if era > g.era {
 		if g.era > 0 {
-			g.until, g.nextAt = now+retellFor, now
+			g.resendUntil, g.resendAt = now+reclaimPeriod, now
 		}
 		g.era = era
 	}
-	if now >= g.until || now < g.nextAt {
+	if now >= g.resendUntil || now < g.resendAt {
 		return nil
 	}
-	g.nextAt = now + retellEvery
+	g.resendAt = now + reclaimInterval
 	var out []*peerpb.Reclaim
 	for _, c := range g.claims {
-		if now-c.at <= copyAge+retellFor {
+		if now-c.at <= maxCopyAge+reclaimPeriod {
 			out = append(out, c.claim)
 		}
 	}
--- a/decide/claim/shard.go
+++ b/decide/claim/shard.go
@@ -17,8 +17,9 @@
 type shardState int
 
 const (
+	// idle waits for retryAt to read the ledger again.
 	idle shardState = iota
-	// listing reads the ledger, to recover it or to learn the fate of a write.
+	// listing reads the ledger, to recover it or to learn the outcome of a write.
 	listing
 	// fencing writes the last segment with a new epoch.
 	fencing
@@ -31,61 +32,61 @@
 
 type record struct {
 	entry *peerpb.LedgerEntry
-	// segment is the object that holds the newest entry.
+	// segment is the key of the object that holds the newest entry.
 	segment string
-	// unoffered tells that this process committed the claim and never sent its
-	// grant, so nobody can have run the request.
-	unoffered  bool
-	answer     *peerpb.ClaimResult
-	answeredAt time.Duration
+	// grantUnsent is set if this process committed the claim but never sent the grant, so
+	// that nobody can have run the request.
+	grantUnsent bool
+	answer      *peerpb.ClaimResult
+	answeredAt  time.Duration
 }
 
 type waiter struct {
-	from  string
-	claim *peerpb.Claim
-	until time.Duration
+	from     string
+	claim    *peerpb.Claim
+	deadline time.Duration
 }
 
 type segment struct {
-	key     string
-	version uint64
-	opened  int64
-	seen    time.Duration
-	keys    []Key
+	key        string
+	version    uint64
+	openedUnix int64
+	firstSeen  time.Duration
+	keys       []Key
 }
 
 type shard struct {
-	m       *Machine
-	index   int
-	owned   bool
-	state   shardState
-	retryAt time.Duration
-	nextAt  time.Duration
-	epoch   uint64
-	writes  uint64
+	m            *Machine
+	index        int
+	owned        bool
+	state        shardState
+	retryAt      time.Duration
+	nextCommitAt time.Duration
+	epoch        uint64
+	writeSeq     uint64
 
 	keys    map[Key]*record
 	waiting []waiter
-	// batch is what the commit in flight adds, dirty what the next one adds.
+	// batch holds the entries of the commit in flight, dirty those of the next one.
 	batch []*peerpb.LedgerEntry
 	dirty []*peerpb.LedgerEntry
 
-	segments []segment
-	tail     *peerpb.LedgerSegment
-	tailKey  string
-	version  uint64
-	pending  *peerpb.LedgerSegment
-	// pendingKey and pendingState are the object that the write in flight
-	// updates and the state that it was issued in.
+	segments    []segment
+	tail        *peerpb.LedgerSegment
+	tailKey     string
+	tailVersion uint64
+	pending     *peerpb.LedgerSegment
+	// pendingKey is the object that the write in flight updates, pendingState the state in
+	// which it was issued.
 	pendingKey   string
 	pendingState shardState
 
-	// grantFrom is when keys that the ledger does not hold may be granted again after the
-	// store came back from an older copy.
+	// grantFrom is the time from which keys that the ledger does not hold may be granted
+	// after the store was restored from an older copy.
 	grantFrom time.Duration
 
-	answers                            int
-	commits, granted, deposed, unknown uint64
+	answerBytes                                int
+	commits, granted, deposed, unknownOutcomes uint64
 }
 
 func newShard(i int, m *Machine) *shard { return &shard{m: m, index: i, keys: map[Key]*record{}} }
@@ -103,29 +104,29 @@
 		s.recover(now)
 		return
 	}
-	s.refuseAll()
-	*s = shard{m: s.m, index: s.index, keys: map[Key]*record{}, commits: s.commits, granted: s.granted, deposed: s.deposed, unknown: s.unknown}
+	s.refuseWaiting()
+	*s = shard{m: s.m, index: s.index, keys: map[Key]*record{}, commits: s.commits, granted: s.granted, deposed: s.deposed, unknownOutcomes: s.unknownOutcomes}
 }
 
-// recover reads the ledger before anything is granted.
+// recover reads the ledger. Nothing is granted before that has succeeded.
 func (s *shard) recover(now time.Duration) {
 	s.state = listing
-	s.retryAt = now + listTimeout
-	s.m.act(List{Shard: s.index, Prefix: s.prefix()})
+	s.retryAt = now + storeCallTimeout
+	s.m.emit(List{Shard: s.index, Prefix: s.prefix()})
 }
 
-// Delays of the ledger.
+// Timeouts and delays of store calls.
 const (
-	listTimeout = 6 * time.Second
-	retryPause  = 250 * time.Millisecond
-	// deposedPause keeps two instances that both believe they own a shard from
-	// fencing each other without end.
-	deposedPause = 500 * time.Millisecond
+	storeCallTimeout = 6 * time.Second
+	retryDelay       = 250 * time.Millisecond
+	// deposedDelay keeps two instances that both believe they own a shard from fencing each
+	// other off in a tight loop.
+	deposedDelay = 500 * time.Millisecond
 )
 
-func (s *shard) claim(now time.Duration, ev Claimed) {
+func (s *shard) handleClaim(now time.Duration, ev Claimed) {
 	if !s.owned {
-		s.reply(ev.From, ev.Claim.RequestId, &peerpb.ClaimReply{State: peerpb.ClaimState_CLAIM_UNAVAILABLE, RetryAfterUs: retryPause.Microseconds()})
+		s.reply(ev.From, ev.Claim.RequestId, &peerpb.ClaimReply{State: peerpb.ClaimState_CLAIM_UNAVAILABLE, RetryAfterUs: retryDelay.Microseconds()})
 		return
 	}
 	if slices.ContainsFunc(s.waiting, func(w waiter) bool { return w.claim.RequestId == ev.Claim.RequestId }) {
@@ -135,41 +136,41 @@
 		s.reply(ev.From, ev.Claim.RequestId, &peerpb.ClaimReply{State: peerpb.ClaimState_CLAIM_UNAVAILABLE, RetryAfterUs: time.Second.Microseconds()})
 		return
 	}
-	s.waiting = append(s.waiting, waiter{from: ev.From, claim: ev.Claim, until: now + s.m.cfg.Patience})
+	s.waiting = append(s.waiting, waiter{from: ev.From, claim: ev.Claim, deadline: now + s.m.cfg.ClaimTimeout})
 	s.advance(now)
 }
 
-// advance answers the waiting claims that need no commit and starts a commit
-// for the rest.
+// advance answers the waiting claims that need no commit and starts a commit for the
+// others.
 func (s *shard) advance(now time.Duration) {
 	if s.state != ready {
 		return
 	}
-	s.waiting = slices.DeleteFunc(s.waiting, func(w waiter) bool { return s.settle(w) })
+	s.waiting = slices.DeleteFunc(s.waiting, func(w waiter) bool { return s.answerFromLedger(w) })
 	if now < s.grantFrom && len(s.dirty) == 0 {
 		return
 	}
-	if now < s.nextAt || (len(s.waiting) == 0 && len(s.dirty) == 0) {
+	if now < s.nextCommitAt || (len(s.waiting) == 0 && len(s.dirty) == 0) {
 		return
 	}
 	s.commit(now)
 }
 
-// settle answers a claim on a key that the ledger knows.
-func (s *shard) settle(w waiter) bool {
+// answerFromLedger answers a claim whose key is in the ledger, and reports whether it did.
+func (s *shard) answerFromLedger(w waiter) bool {
 	r := s.keys[KeyOf(w.claim.Customer, w.claim.Key)]
 	if r == nil || r.entry.State == peerpb.LedgerState_LEDGER_RELEASED {
 		return false
 	}
 	e := r.entry
-	if r.unoffered && e.RequestId != w.claim.RequestId {
+	if r.grantUnsent && e.RequestId != w.claim.RequestId {
 		return false
 	}
 	switch {
 	case e.BodyHash != w.claim.BodyHash:
 		s.reply(w.from, w.claim.RequestId, &peerpb.ClaimReply{State: peerpb.ClaimState_CLAIM_MISMATCH})
 	case e.RequestId == w.claim.RequestId:
-		// The grant's reply was lost; the same request may have it again.
+		// The reply to this request was lost, so it is granted again.
 		s.grant(w, r)
 	case e.State == peerpb.LedgerState_LEDGER_DONE:
 		s.reply(w.from, w.claim.RequestId, doneReply(r))
@@ -194,17 +195,18 @@
 }
 
 func (s *shard) grant(w waiter, r *record) {
-	r.unoffered = false
+	r.grantUnsent = false
 	s.granted++
 	s.reply(w.from, w.claim.RequestId, &peerpb.ClaimReply{State: peerpb.ClaimState_CLAIM_GRANTED, Runner: w.claim.RequestId})
 }
 
 func (s *shard) reply(to, requestID string, r *peerpb.ClaimReply) {
 	r.RequestId = requestID
-	s.m.act(Reply{To: to, Reply: r})
+	s.m.emit(Reply{To: to, Reply: r})
 }
 
-// commit writes the last segment with the waiting claims, one for each key.
+// commit writes the last segment with the dirty entries and the waiting claims, one claim
+// for each key.
 func (s *shard) commit(now time.Duration) {
 	s.batch = s.dirty
 	s.dirty = nil
@@ -221,20 +223,20 @@
 		claimed[k] = true
 		s.batch = append(s.batch, &peerpb.LedgerEntry{KeyHi: k.Hi, KeyLo: k.Lo, BodyHash: w.claim.BodyHash, RequestId: w.claim.RequestId})
 	}
-	next := s.nextSegment()
+	next := s.nextVersion()
 	next.Entries = append(slices.Clone(s.tail.Entries), s.batch...)
 	if now >= s.grantFrom {
 		next.Era = s.m.era
 	}
 	s.state = committing
-	s.write(now, s.tailKey, next, s.version)
+	s.write(now, s.tailKey, next, s.tailVersion)
 }
 
-// nextSegment copies the header of the last segment with a new write id.
-func (s *shard) nextSegment() *peerpb.LedgerSegment {
-	s.writes++
+// nextVersion returns a copy of the last segment with a new write ID.
+func (s *shard) nextVersion() *peerpb.LedgerSegment {
+	s.writeSeq++
 	return &peerpb.LedgerSegment{
-		Epoch: s.epoch, Owner: s.m.self, WriteId: fmt.Sprintf("%s/%d/%d", s.m.self, s.epoch, s.writes),
+		Epoch: s.epoch, Owner: s.m.self, WriteId: fmt.Sprintf("%s/%d/%d", s.m.self, s.epoch, s.writeSeq),
 		Entries: s.tail.Entries, OpenedUnix: s.tail.OpenedUnix, Era: s.tail.Era,
 	}
 }
@@ -245,50 +247,50 @@
 		panic(err) // generated messages without required fields always marshal
 	}
 	s.pending, s.pendingKey, s.pendingState = seg, key, s.state
-	s.retryAt = now + listTimeout
-	s.m.act(Write{Shard: s.index, ID: seg.WriteId, Key: key, Value: raw, Expect: expect})
+	s.retryAt = now + storeCallTimeout
+	s.m.emit(Write{Shard: s.index, ID: seg.WriteId, Key: key, Value: raw, Expect: expect})
 }
 
-func (s *shard) written(now time.Duration, ev Written) {
+func (s *shard) handleWritten(now time.Duration, ev Written) {
 	if !s.owned || s.state != s.pendingState || s.pending == nil || ev.ID != s.pending.WriteId {
 		return
 	}
 	switch {
 	case ev.Err == nil:
-		s.confirmed(now, ev.Version)
+		s.completeWrite(now, ev.Version)
 	case errors.Is(ev.Err, objectapi.ErrConflict):
-		// Another instance wrote the segment and owns the shard now, unless this
-		// one takes it back.
+		// Another instance wrote the segment and now owns the shard, unless this one takes
+		// it back.
 		s.deposed++
-		s.pause(now, deposedPause)
+		s.recoverAfter(now, deposedDelay)
 	default:
-		s.unknown++
-		s.pause(now, retryPause)
+		s.unknownOutcomes++
+		s.recoverAfter(now, retryDelay)
 	}
 }
 
-// pause lists the ledger again after a while: the fate of the last write is
-// unknown, and only what the store holds can tell.
-func (s *shard) pause(now time.Duration, d time.Duration) {
+// recoverAfter schedules a new read of the ledger. The outcome of the last write is
+// unknown, and only the stored segments can tell.
+func (s *shard) recoverAfter(now time.Duration, d time.Duration) {
 	s.state = idle
 	s.retryAt = now + d
 }
 
-// confirmed takes over the write in flight.
-func (s *shard) confirmed(now time.Duration, version uint64) {
+// completeWrite makes the segment that was written the current one and continues.
+func (s *shard) completeWrite(now time.Duration, version uint64) {
 	state := s.state
 	seg := s.pending
 	s.pending = nil
-	s.tail, s.tailKey, s.version = seg, s.pendingKey, version
-	s.noteSegment(now, s.tailKey, version, seg)
+	s.tail, s.tailKey, s.tailVersion = seg, s.pendingKey, version
+	s.trackSegment(now, s.tailKey, version, seg)
 	s.state = ready
 	switch {
 	case state == rolling && seg.Sealed:
-		s.openNext(now)
+		s.openNextSegment(now)
 		return
 	case state == committing:
 		s.commits++
-		s.nextAt = now + s.m.cfg.Spacing
+		s.nextCommitAt = now + s.m.cfg.MinCommitInterval
 		s.applyBatch()
 		if proto.Size(seg) > s.m.cfg.SegmentBytes {
 			s.seal(now)
@@ -297,22 +299,22 @@
 	s.advance(now)
 }
 
-// applyBatch makes the committed entries known and grants their claims.
+// applyBatch adds the committed entries to the known keys and grants their claims.
 func (s *shard) applyBatch() {
 	for _, e := range s.batch {
-		before := s.keys[Key{Hi: e.KeyHi, Lo: e.KeyLo}]
-		isNew := before == nil || before.entry.RequestId != e.RequestId
-		if r := s.apply(e, s.tailKey); isNew {
-			r.unoffered = e.State == peerpb.LedgerState_LEDGER_CLAIMED && e.Stream == ""
+		previous := s.keys[Key{Hi: e.KeyHi, Lo: e.KeyLo}]
+		isNew := previous == nil || previous.entry.RequestId != e.RequestId
+		if r := s.applyEntry(e, s.tailKey); isNew {
+			r.grantUnsent = e.State == peerpb.LedgerState_LEDGER_CLAIMED && e.Stream == ""
 		}
 	}
 	s.batch = nil
-	s.waiting = slices.DeleteFunc(s.waiting, func(w waiter) bool { return s.settle(w) })
+	s.waiting = slices.DeleteFunc(s.waiting, func(w waiter) bool { return s.answerFromLedger(w) })
 }
 
-// apply takes over an entry of a segment. Later entries of a key replace
-// earlier ones.
-func (s *shard) apply(e *peerpb.LedgerEntry, segment string) *record {
+// applyEntry adds an entry of a segment to the known keys. A later entry of a key replaces
+// an earlier one.
+func (s *shard) applyEntry(e *peerpb.LedgerEntry, segment string) *record {
 	k := Key{Hi: e.KeyHi, Lo: e.KeyLo}
 	r := s.keys[k]
 	if r == nil {
@@ -320,8 +322,8 @@
 		s.keys[k] = r
 	}
 	r.segment = segment
-	// The result of a request may be known in memory before the commit of its
-	// claim is read back.
+	// The result of a request may be known in memory before the commit of its claim is read
+	// back.
 	if r.entry == nil || r.entry.RequestId != e.RequestId || r.entry.State <= e.State {
 		r.entry = e
 	}
@@ -329,15 +331,15 @@
 }
 
 func (s *shard) seal(now time.Duration) {
-	seg := s.nextSegment()
+	seg := s.nextVersion()
 	seg.Sealed = true
 	s.state = rolling
-	s.write(now, s.tailKey, seg, s.version)
+	s.write(now, s.tailKey, seg, s.tailVersion)
 }
 
-func (s *shard) openNext(now time.Duration) {
+func (s *shard) openNextSegment(now time.Duration) {
 	s.state = rolling
-	next := s.nextSegment()
+	next := s.nextVersion()
 	next.Entries, next.OpenedUnix = nil, s.m.unix
 	s.write(now, s.segmentKey(segmentNumber(s.tailKey)+1), next, 0)
 }
@@ -347,13 +349,13 @@
 	return n
 }
 
-// result records what became of a claimed request. It is committed with the
-// next group; losing it to a crash costs the answer, not a second run.
-func (s *shard) result(now time.Duration, res *peerpb.ClaimResult) {
+// handleResult records the outcome of a claimed request. It is committed with the next
+// batch: if it is lost in a crash, the answer is lost but the request is not run again.
+func (s *shard) handleResult(now time.Duration, res *peerpb.ClaimResult) {
 	k := KeyOf(res.Customer, res.Key)
 	r := s.keys[k]
 	if res.NotRun {
-		// The entry gave up before its claim was committed.
+		// The entry instance gave up before the claim was committed.
 		s.waiting = slices.DeleteFunc(s.waiting, func(w waiter) bool { return w.claim.RequestId == res.RequestId })
 	}
 	if !s.owned || r == nil || r.entry.RequestId != res.RequestId || r.entry.State != peerpb.LedgerState_LEDGER_CLAIMED {
@@ -366,21 +368,21 @@
 	case res.Stream != "":
 		e.Engine, e.Stream = res.Engine, res.Stream
 	default:
-		s.finished(now, r, e, res)
+		s.recordAnswer(now, r, e, res)
 	}
 	r.entry = e
 	s.dirty = append(s.dirty, e)
 	s.advance(now)
 }
 
-func (s *shard) finished(now time.Duration, r *record, e *peerpb.LedgerEntry, res *peerpb.ClaimResult) {
+func (s *shard) recordAnswer(now time.Duration, r *record, e *peerpb.LedgerEntry, res *peerpb.ClaimResult) {
 	e.State, e.Status, e.ContentType = peerpb.LedgerState_LEDGER_DONE, res.Status, res.ContentType
-	if len(res.Answer) <= s.m.cfg.LedgerAnswer {
+	if len(res.Answer) <= s.m.cfg.MaxLedgerAnswer {
 		e.Answer, e.AnswerKept = res.Answer, true
 		return
 	}
-	if s.answers+len(res.Answer) <= s.m.cfg.MaxAnswers {
-		s.answers += len(res.Answer)
+	if s.answerBytes+len(res.Answer) <= s.m.cfg.MaxAnswerMemory {
+		s.answerBytes += len(res.Answer)
 		r.answer, r.answeredAt = res, now
 	}
 }
@@ -400,20 +402,20 @@
 		s.expireSegments(now)
 		s.advance(now)
 	default:
-		// A call whose outcome never arrives counts as unknown.
+		// A call without a reply has an unknown outcome.
 		if now >= s.retryAt {
-			s.unknown++
+			s.unknownOutcomes++
 			s.recover(now)
 		}
 	}
 }
 
-// expireWaiting refuses claims whose commit takes too long. They did not run:
-// nothing was granted. Should their entry still take effect, it is released,
-// because this owner never offered it.
+// expireWaiting refuses claims whose commit takes too long. They did not run because they
+// were not granted. If such an entry is committed later, the next request may claim its
+// key, because the grant was never sent.
 func (s *shard) expireWaiting(now time.Duration) {
 	s.waiting = slices.DeleteFunc(s.waiting, func(w waiter) bool {
-		if now < w.until {
+		if now < w.deadline {
 			return false
 		}
 		s.reply(w.from, w.claim.RequestId, &peerpb.ClaimReply{State: peerpb.ClaimState_CLAIM_UNAVAILABLE, RetryAfterUs: time.Second.Microseconds()})
@@ -421,20 +423,20 @@
 	})
 }
 
-func (s *shard) refuseAll() {
+func (s *shard) refuseWaiting() {
 	for _, w := range s.waiting {
-		s.reply(w.from, w.claim.RequestId, &peerpb.ClaimReply{State: peerpb.ClaimState_CLAIM_UNAVAILABLE, RetryAfterUs: retryPause.Microseconds()})
+		s.reply(w.from, w.claim.RequestId, &peerpb.ClaimReply{State: peerpb.ClaimState_CLAIM_UNAVAILABLE, RetryAfterUs: retryDelay.Microseconds()})
 	}
 	s.waiting = nil
 }
 
 func (s *shard) expireAnswers(now time.Duration) {
-	if s.answers == 0 {
+	if s.answerBytes == 0 {
 		return
 	}
 	for _, r := range s.keys {
-		if r.answer != nil && now-r.answeredAt > s.m.cfg.KeepAnswers {
-			s.answers -= len(r.answer.Answer)
+		if r.answer != nil && now-r.answeredAt > s.m.cfg.AnswerRetention {
+			s.answerBytes -= len(r.answer.Answer)
 			r.answer = nil
 		}
 	}
@@ -443,6 +445,6 @@
 func (s *shard) dump() ShardDump {
 	return ShardDump{
 		Shard: s.index, Ready: s.state == ready || s.state == committing, Epoch: s.epoch, Keys: len(s.keys), Waiting: len(s.waiting),
-		Segments: len(s.segments), Commits: s.commits, Granted: s.granted, Deposed: s.deposed, Unknown: s.unknown,
+		Segments: len(s.segments), Commits: s.commits, Granted: s.granted, Deposed: s.deposed, Unknown: s.unknownOutcomes,
 	}
 }
