--- a/decide/lease/lease.go
+++ b/decide/lease/lease.go
@@ -1,11 +1,14 @@
-// Package lease decides who may give orders to engines. The lease is an object
-// in the object API with a fencing number that rises with every holder.
+// Package lease elects the instance that may send orders to engines. The lease is an object
+// in the object API with a fencing token that increases with every holder.
 //
-// Engines that check the number refuse orders of a former holder. For engines
-// that ignore it, time must separate two holders: a holder stops by its own
-// monotonic clock well before its lease can be taken over, and a successor
-// waits out the whole lease plus the longest time that an order can be under
-// way, counted from when it first saw the lease's present version.
+// Engines that check the token reject orders of a former holder. For engines that ignore
+// it, time must separate two holders: a holder stops by its own monotonic clock well before
+// its lease can be taken over, and a successor waits for the whole lease plus the longest
+// time that an order can be in flight, counted from when it first saw the current version
+// of the lease.
+//
+// The store's era increases each time the store is restored from an older copy and may have
+// lost recent writes.
 //
 // The package does no I/O and reads no clock.
 package lease
@@ -19,24 +22,24 @@
 	"github.com/auburnmoor/auburnmoor/port/objectapi"
 )
 
-// Config sizes a lease.
+// Config holds the times of a lease.
 type Config struct {
-	// TTL is the time after which an unrenewed lease may be taken over.
+	// TTL is the time after which a lease that was not renewed may be taken over.
 	TTL time.Duration
-	// Renew is the period of renewal.
-	Renew time.Duration
-	// Stop is how long before the end of the TTL the holder stops giving orders.
-	Stop time.Duration
-	// OrderTime is the longest time that an order can be under way.
+	// RenewInterval is the time between renewals.
+	RenewInterval time.Duration
+	// StopMargin is how long before the end of the TTL the holder stops sending orders.
+	StopMargin time.Duration
+	// MaxOrderTime is the longest time that an order can be in flight.
 	OrderTime time.Duration
 }
 
-// DefaultConfig returns the values of the daemon.
+// DefaultConfig returns the default times.
 func DefaultConfig() Config {
-	return Config{TTL: 9 * time.Second, Renew: 2 * time.Second, Stop: 3 * time.Second, OrderTime: 2 * time.Second}
+	return Config{TTL: 9 * time.Second, RenewInterval: 2 * time.Second, StopMargin: 3 * time.Second, OrderTime: 2 * time.Second}
 }
 
-// Value is the stored form.
+// Value is the content of the lease object. Fence is the fencing token.
 type Value struct {
 	Holder  string `json:"holder"`
 	Fence   uint64 `json:"fence"`
@@ -46,7 +49,7 @@
 // Event is an input of a Lease.
 type Event interface{ event() }
 
-// Tick lets time pass.
+// Tick triggers renewals, reads and timeouts.
 type Tick struct{}
 
 // Read answers a Get. An object that does not exist has version zero.
@@ -86,182 +89,183 @@
 func (Get) action() {}
 func (Put) action() {}
 
-// Lease is one candidate's view. Holder names must differ between
-// incarnations, so that a restarted process is not taken for its predecessor.
+// Lease is one candidate's state. Candidate names must differ between incarnations, so that
+// a restarted process is not taken for its predecessor.
 type Lease struct {
-	cfg    Config
-	self   string
-	wanted bool
+	cfg      Config
+	self     string
+	eligible bool
 
-	// era is that of version.
+	// era is the store's era in which version was observed.
 	era     uint64
 	version uint64
-	// fence is the highest number that was seen. The store may come back without it.
-	fence  uint64
-	value  Value
-	seenAt time.Duration
-	known  bool
-
-	holding  bool
-	validTil time.Duration
-
-	// unsure is set by a write without confirmation. Writing again before
-	// reading would repeat a conflict as fast as the store answers.
-	unsure  bool
-	busy    bool
-	issued  time.Duration
-	writeID uint64
-	writing Value
-	// wroteAt is when the last write was issued.
-	wroteAt time.Duration
-	nextAt  time.Duration
+	// fence is the highest fencing token seen. A restored store may hold a lower one.
+	fence      uint64
+	value      Value
+	observedAt time.Duration
+	observed   bool
+
+	holding    bool
+	validUntil time.Duration
+
+	// mustRead is set by a write that was not confirmed. Writing again without reading
+	// first would repeat a conflict as fast as the store answers.
+	mustRead     bool
+	callInFlight bool
+	callIssuedAt time.Duration
+	writeID      uint64
+	pendingValue Value
+	// writeIssuedAt is when the last write was issued.
+	writeIssuedAt time.Duration
+	nextCallAt    time.Duration
 }
 
 // New returns a candidate that does not hold the lease.
 func New(self string, cfg Config) *Lease { return &Lease{self: self, cfg: cfg} }
 
-// Want tells whether this candidate should try to hold the lease.
-func (l *Lease) Want(wanted bool) { l.wanted = wanted }
+// SetEligible sets whether this candidate should try to hold the lease.
+func (l *Lease) Want(eligible bool) { l.eligible = eligible }
 
-// MayOrder reports whether an order may be given now. It must be asked right
-// before each order: after a pause of the process it is false, however sure
-// the process was before.
+// MayOrder reports whether an order may be sent now. It must be called right before each
+// order: after a pause of the process it is false, even if it was true just before the
+// pause.
 func (l *Lease) MayOrder(now time.Duration) bool {
-	return l.holding && now < l.validTil
+	return l.holding && now < l.validUntil
 }
 
-// Fence returns the fencing number of the lease held.
+// Fence returns the fencing token to send with orders while the lease is held.
 func (l *Lease) Fence() uint64 { return l.fence }
 
-// Deposed tells the lease that an engine refused its number.
+// StepDown gives up the lease after an engine rejected its fencing token.
 func (l *Lease) Deposed() { l.holding = false }
 
-// Holder returns the holder last seen.
+// Holder returns the last observed holder.
 func (l *Lease) Holder() string { return l.value.Holder }
 
-// callTimeout is how long an answer of the store is waited for.
+// callTimeout is how long to wait for an answer of the store.
 const callTimeout = 5 * time.Second
 
-// Step takes an event.
+// Step handles an event and returns the resulting actions.
 func (l *Lease) Step(now time.Duration, ev Event) []Action {
 	switch ev := ev.(type) {
 	case Read:
-		l.busy = false
-		l.read(now, ev)
+		l.callInFlight = false
+		l.handleRead(now, ev)
 	case Wrote:
 		if ev.WriteID != l.writeID {
 			return nil
 		}
-		l.busy = false
-		l.wrote(now, ev)
+		l.callInFlight = false
+		l.handleWrote(now, ev)
 	}
-	return l.next(now)
+	return l.nextActions(now)
 }
 
-func (l *Lease) read(now time.Duration, ev Read) {
+func (l *Lease) handleRead(now time.Duration, ev Read) {
 	if ev.Err != nil && !errors.Is(ev.Err, objectapi.ErrNotFound) {
 		return
 	}
-	l.unsure = false
+	l.mustRead = false
 	var v Value
 	if ev.Object.Version != 0 && json.Unmarshal(ev.Object.Value, &v) != nil {
 		return
 	}
-	// A stale read must not restart the wait, nor end it: an older version than
-	// the one known says nothing.
-	if ev.Era < l.era || l.known && ev.Era == l.era && ev.Object.Version <= l.version {
+	// A stale read tells nothing new: it must neither restart nor end the wait for a silent
+	// holder.
+	if ev.Era < l.era || l.observed && ev.Era == l.era && ev.Object.Version <= l.version {
 		return
 	}
-	if l.known && ev.Era > l.era {
+	if l.observed && ev.Era > l.era {
 		l.beginEra(now, ev.Era, ev.Object.Version, v)
 		return
 	}
 	l.observe(now, ev.Era, ev.Object.Version, v)
-	if v.Holder == l.self && v.WriteID == l.writeID && v == l.writing {
+	if v.Holder == l.self && v.WriteID == l.writeID && v == l.pendingValue {
 		l.extend()
 	}
 }
 
-// beginEra takes over what a store holds that came back from an older copy. What it says
-// of the holder is old: the last one may give orders until its time is over, and whom the
-// copy names may have been deposed since. So a holder whose time is not over goes on and
-// renews; all others wait as for a silent holder, from now on.
+// beginEra adopts the lease object of a store that was restored from an older copy. The
+// holder that it names is outdated: the last holder may send orders until its lease
+// expires, and the holder in the copy may have been deposed since. So a holder whose lease
+// is still valid continues and renews it; all others wait from now on as for a silent
+// holder.
 func (l *Lease) beginEra(now time.Duration, era, version uint64, v Value) {
-	goesOn := l.MayOrder(now)
+	stillHolder := l.MayOrder(now)
 	l.observe(now, era, version, v)
-	l.holding = goesOn
-	if !goesOn && l.value.Holder == "" {
+	l.holding = stillHolder
+	if !stillHolder && l.value.Holder == "" {
 		l.value.Holder = lostHolder
 	}
 }
 
-// lostHolder stands for a holder that the store lost.
-const lostHolder = "lost with the store's last era"
+// lostHolder stands for a holder that is unknown because the store lost it.
+const lostHolder = "unknown since the store was restored"
 
 func (l *Lease) observe(now time.Duration, era, version uint64, v Value) {
-	l.known, l.era, l.version, l.value, l.seenAt = true, era, version, v, now
+	l.observed, l.era, l.version, l.value, l.observedAt = true, era, version, v, now
 	l.fence = max(l.fence, v.Fence)
 	if v.Holder != l.self {
 		l.holding = false
 	}
 }
 
-// extend counts the lease from the moment the write was issued, because the
-// store may have applied it at any time since.
+// extend counts the lease from when the write was issued, because the store may have
+// applied it at any time since.
 func (l *Lease) extend() {
 	l.holding = true
-	l.validTil = l.wroteAt + l.cfg.TTL - l.cfg.Stop
+	l.validUntil = l.writeIssuedAt + l.cfg.TTL - l.cfg.StopMargin
 }
 
-func (l *Lease) wrote(now time.Duration, ev Wrote) {
+func (l *Lease) handleWrote(now time.Duration, ev Wrote) {
 	if ev.Err != nil {
-		// Conflict or unknown: only reading back tells who holds the lease. Until
-		// then the last confirmed renewal limits this holder.
-		l.unsure = true
-		l.nextAt = now
+		// After a conflict or an unknown outcome only a read tells who holds the lease.
+		// Until then the last confirmed renewal limits this holder.
+		l.mustRead = true
+		l.nextCallAt = now
 		return
 	}
 	if ev.Era != l.era {
-		// Written in a later era than the version that it was compared with: only
-		// reading back tells what it replaced.
-		l.unsure, l.nextAt = true, now
+		// The write took effect in a later era than that of the version it was compared
+		// with, so only a read tells what it replaced.
+		l.mustRead, l.nextCallAt = true, now
 		return
 	}
-	l.observe(now, ev.Era, ev.Version, l.writing)
+	l.observe(now, ev.Era, ev.Version, l.pendingValue)
 	l.extend()
 }
 
-func (l *Lease) next(now time.Duration) []Action {
-	if l.busy && now-l.issued < callTimeout {
+func (l *Lease) nextActions(now time.Duration) []Action {
+	if l.callInFlight && now-l.callIssuedAt < callTimeout {
 		return nil
 	}
-	if now < l.nextAt {
+	if now < l.nextCallAt {
 		return nil
 	}
-	l.nextAt = now + l.cfg.Renew
-	l.busy, l.issued = true, now
-	if l.wanted && l.known && !l.unsure && l.mayTake(now) {
-		l.wroteAt = now
-		return []Action{l.put()}
+	l.nextCallAt = now + l.cfg.RenewInterval
+	l.callInFlight, l.callIssuedAt = true, now
+	if l.eligible && l.observed && !l.mustRead && l.mayAcquire(now) {
+		l.writeIssuedAt = now
+		return []Action{l.newPut()}
 	}
 	return []Action{Get{}}
 }
 
-// mayTake reports whether this candidate may write the lease: it holds it, it
-// is free, or its holder was silent for long enough.
-func (l *Lease) mayTake(now time.Duration) bool {
+// mayAcquire reports whether this candidate may write the lease: it holds the lease, the
+// lease is free, or its holder has been silent for long enough.
+func (l *Lease) mayAcquire(now time.Duration) bool {
 	if l.holding || l.value.Holder == "" {
 		return true
 	}
-	return now-l.seenAt >= l.cfg.TTL+l.cfg.OrderTime
+	return now-l.observedAt >= l.cfg.TTL+l.cfg.OrderTime
 }
 
-func (l *Lease) put() Put {
+func (l *Lease) newPut() Put {
 	l.writeID++
-	l.writing = Value{Holder: l.self, Fence: l.fence, WriteID: l.writeID}
+	l.pendingValue = Value{Holder: l.self, Fence: l.fence, WriteID: l.writeID}
 	if !l.holding {
-		l.writing.Fence++
+		l.pendingValue.Fence++
 	}
-	raw, _ := json.Marshal(l.writing)
+	raw, _ := json.Marshal(l.pendingValue)
 	return Put{WriteID: l.writeID, Value: raw, Expect: l.version}
 }
--- a/decide/lease/lease_test.go
+++ b/decide/lease/lease_test.go
@@ -17,14 +17,14 @@
 }
 
 type fakeStore struct {
-	obj    objectapi.Object
-	writes int
-	lose   bool
-	down   bool
-	era    uint64
+	obj         objectapi.Object
+	writes      int
+	loseReplies bool
+	down        bool
+	era         uint64
 }
 
-func (s *fakeStore) answer(a lease.Action) lease.Event {
+func (s *fakeStore) execute(a lease.Action) lease.Event {
 	put, ok := a.(lease.Put)
 	if !ok {
 		if s.down {
@@ -42,19 +42,19 @@
 	default:
 		s.obj = objectapi.Object{Version: s.obj.Version + 1, Value: put.Value}
 		out.Version = s.obj.Version
-		if s.lose {
+		if s.loseReplies {
 			out.Err = objectapi.ErrUnknown
 		}
 	}
 	return out
 }
 
-// pass lets time pass for one candidate, with a tick every 100 ms.
-func pass(l *lease.Lease, s *fakeStore, from, d time.Duration) {
+// advance steps one candidate with a tick every 100 ms.
+func advance(l *lease.Lease, s *fakeStore, from, d time.Duration) {
 	for now := from; now < from+d; now += 100 * time.Millisecond {
 		queue := l.Step(now, lease.Tick{})
 		for len(queue) > 0 {
-			ev := s.answer(queue[0])
+			ev := s.execute(queue[0])
 			queue = append(queue[1:], l.Step(now, ev)...)
 		}
 	}
@@ -71,109 +71,108 @@
 		b.Want(true)
 	})
 
-	// Models are not loaded any more for minutes, or two instances load them against each
-	// other: the store came back with an older lease. Its version was taken for a stale
-	// read by all, and whom it named took itself for the holder.
-	Context("when the store comes back from an older copy", func() {
-		both := func(from, d time.Duration) (together bool) {
+	// Guards against orders from nobody or from two instances after the store came back
+	// with an older lease: its version was taken for a stale read by all candidates, and
+	// the holder that it named considered itself the holder.
+	Context("when the store is restored from an older copy", func() {
+		advanceBoth := func(from, d time.Duration) (overlap bool) {
 			for now := from; now < from+d; now += 100 * time.Millisecond {
-				pass(a, store, now, 100*time.Millisecond)
-				pass(b, store, now, 100*time.Millisecond)
-				together = together || a.MayOrder(now) && b.MayOrder(now)
+				advance(a, store, now, 100*time.Millisecond)
+				advance(b, store, now, 100*time.Millisecond)
+				overlap = overlap || a.MayOrder(now) && b.MayOrder(now)
 			}
-			return together
+			return overlap
 		}
-		back := func(to objectapi.Object) {
+		restoreStore := func(to objectapi.Object) {
 			store.obj = to
 			store.era++
 		}
 
-		It("goes on with its holder and a higher number than any before", func() {
-			pass(a, store, 0, time.Second)
-			copied := store.obj
-			both(time.Second, 10*time.Second)
+		It("continues with its holder and a fencing token at least as high as before", func() {
+			advance(a, store, 0, time.Second)
+			snapshot := store.obj
+			advanceBoth(time.Second, 10*time.Second)
 			fence := a.Fence()
-			back(copied)
-			Expect(both(11*time.Second, 30*time.Second)).To(BeFalse())
+			restoreStore(snapshot)
+			Expect(advanceBoth(11*time.Second, 30*time.Second)).To(BeFalse())
 			Expect(a.MayOrder(41 * time.Second)).To(BeTrue())
 			Expect(a.Fence()).To(BeNumerically(">=", fence))
 		})
 
-		It("is not given to a former holder that the copy names", func() {
-			pass(a, store, 0, time.Second)
-			copied := store.obj
-			pass(b, store, time.Second, 30*time.Second)
+		It("is not granted to a former holder that the copy names", func() {
+			advance(a, store, 0, time.Second)
+			snapshot := store.obj
+			advance(b, store, time.Second, 30*time.Second)
 			Expect(b.MayOrder(31 * time.Second)).To(BeTrue())
-			back(copied)
-			Expect(both(31*time.Second, 30*time.Second)).To(BeFalse())
+			restoreStore(snapshot)
+			Expect(advanceBoth(31*time.Second, 30*time.Second)).To(BeFalse())
 			Expect(b.MayOrder(61 * time.Second)).To(BeTrue())
 		})
 
-		It("is taken over in the end if its holder ended too, and not before its time is over", func() {
-			pass(a, store, 0, 10*time.Second)
-			pass(b, store, 9*time.Second, time.Second)
-			back(objectapi.Object{})
-			pass(b, store, 10*time.Second, 10*time.Second)
+		It("is taken over after it has expired if its holder failed too", func() {
+			advance(a, store, 0, 10*time.Second)
+			advance(b, store, 9*time.Second, time.Second)
+			restoreStore(objectapi.Object{})
+			advance(b, store, 10*time.Second, 10*time.Second)
 			Expect(b.MayOrder(20 * time.Second)).To(BeFalse())
-			pass(b, store, 20*time.Second, 5*time.Second)
+			advance(b, store, 20*time.Second, 5*time.Second)
 			Expect(b.MayOrder(25 * time.Second)).To(BeTrue())
 			Expect(b.Fence()).To(BeNumerically(">", a.Fence()))
 		})
 	})
 
-	It("is held while it is renewed and has a rising fencing number", func() {
-		pass(a, store, 0, 30*time.Second)
+	It("is held while it is renewed and has an increasing fencing token", func() {
+		advance(a, store, 0, 30*time.Second)
 		Expect(a.MayOrder(30 * time.Second)).To(BeTrue())
 		Expect(a.Fence()).To(Equal(uint64(1)))
-		pass(b, store, 30*time.Second, 30*time.Second)
+		advance(b, store, 30*time.Second, 30*time.Second)
 		Expect(b.MayOrder(60 * time.Second)).To(BeTrue())
 		Expect(b.Fence()).To(Equal(uint64(2)))
 	})
 
-	// An engine that ignores fencing numbers loads a model that was withdrawn:
-	// a holder is paused, its lease lapses, a successor gives new orders, and
-	// the first wakes and goes on. Cause: trusting a look at the clock from
-	// before the pause.
-	It("lets a paused holder give no order after it wakes", func() {
-		pass(a, store, 0, 5*time.Second)
+	// Guards against orders of a former holder to an engine that ignores fencing tokens: a
+	// holder is paused, its lease expires, a successor sends orders, and the first resumes
+	// and continues on a clock reading from before the pause.
+	It("does not allow orders of a holder that resumes after a pause", func() {
+		advance(a, store, 0, 5*time.Second)
 		Expect(a.MayOrder(5 * time.Second)).To(BeTrue())
 		Expect(a.MayOrder(17 * time.Second)).To(BeFalse())
 	})
 
-	It("makes a successor wait for the lease and for the longest order", func() {
-		pass(a, store, 0, 5*time.Second)
+	It("makes a successor wait for the TTL and the longest order", func() {
+		advance(a, store, 0, 5*time.Second)
 		cfg := lease.DefaultConfig()
-		pass(b, store, 5*time.Second, cfg.TTL+cfg.OrderTime-200*time.Millisecond)
-		Expect(b.Fence()).To(Equal(uint64(1)), "b took over early")
-		pass(b, store, 5*time.Second+cfg.TTL+cfg.OrderTime, 5*time.Second)
+		advance(b, store, 5*time.Second, cfg.TTL+cfg.OrderTime-200*time.Millisecond)
+		Expect(b.Fence()).To(Equal(uint64(1)), "b took over too early")
+		advance(b, store, 5*time.Second+cfg.TTL+cfg.OrderTime, 5*time.Second)
 		Expect(b.Fence()).To(Equal(uint64(2)))
 	})
 
-	It("keeps a renewal whose reply was lost but that took effect", func() {
-		pass(a, store, 0, 5*time.Second)
-		store.lose = true
-		pass(a, store, 5*time.Second, 15*time.Second)
+	It("keeps a renewal that took effect although its reply was lost", func() {
+		advance(a, store, 0, 5*time.Second)
+		store.loseReplies = true
+		advance(a, store, 5*time.Second, 15*time.Second)
 		Expect(a.MayOrder(20 * time.Second)).To(BeTrue())
 	})
 
-	It("lapses in an outage of the store and is taken up again after it", func() {
-		pass(a, store, 0, 5*time.Second)
+	It("expires during an outage of the store and is acquired again afterwards", func() {
+		advance(a, store, 0, 5*time.Second)
 		store.down = true
-		pass(a, store, 5*time.Second, 15*time.Second)
+		advance(a, store, 5*time.Second, 15*time.Second)
 		Expect(a.MayOrder(20 * time.Second)).To(BeFalse())
 		store.down = false
-		pass(a, store, 20*time.Second, 5*time.Second)
+		advance(a, store, 20*time.Second, 5*time.Second)
 		Expect(a.MayOrder(25 * time.Second)).To(BeTrue())
 	})
 
-	// The platform counted 218,000 writes in fifteen seconds: two candidates
-	// wrote the absent lease at once, the loser met a conflict and wrote again
-	// with the same expectation. Cause: retrying a write without reading.
+	// Guards against a tight loop of writes (218,000 in 15 s): two candidates wrote the
+	// absent lease at once, and the loser retried its write after the conflict without
+	// reading the lease.
 	It("reads after a conflict before it writes again", func() {
-		pass(a, store, 0, 200*time.Millisecond)
+		advance(a, store, 0, 200*time.Millisecond)
 		store.obj.Version += 5
 		before := store.writes
-		pass(a, store, 10*time.Second, 10*time.Second)
+		advance(a, store, 10*time.Second, 10*time.Second)
 		Expect(store.writes - before).To(BeNumerically("<=", 6))
 	})
 })
