--- a/decide/poison/bench_test.go
+++ b/decide/poison/bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/auburnmoor/auburnmoor/decide/poison"
 )
 
-// BenchmarkJudge is what a request costs that is looked up while others are suspects; none
-// is looked up, nor hashed, while there are none.
+// BenchmarkAssess measures the lookup of one request while others are suspects. While there
+// are no suspects, requests are neither hashed nor looked up.
 func BenchmarkJudge(b *testing.B) {
 	t := poison.NewTable()
 	for n := range 100 {
--- a/decide/poison/crash.go
+++ b/decide/poison/crash.go
@@ -9,38 +9,39 @@
 )
 
 const (
-	// sameCrash is the time within which two ends of one server are the same one. A
-	// server is back after a second at the least, and instances notice its end within
+	// sameExit is the time within which two reported exits of one server are the same exit.
+	// A server takes at least a second to restart, and instances detect its exit within
 	// milliseconds of each other.
-	sameCrash = time.Second
-	// clockError is the error of a time that another instance told: what its message
-	// took on the way.
+	sameExit = time.Second
+	// clockError bounds the error of a time reported by another instance, which is the
+	// latency of its message.
 	clockError = 5 * time.Millisecond
-	// maxCrashes bounds the ends kept for one request.
+	// maxCrashes bounds the crashes kept for one request.
 	maxCrashes = 16
 )
 
-// Crash is the end of a server while it ran a request.
+// Crash is the exit of a server while it ran a request.
 type Crash struct {
 	// Server is a hash of the server's ID.
 	Server uint64
-	// Began is when the request was sent there, Ended when it broke.
+	// Began is when the request was sent to the server, Ended when its connection broke.
 	Began, Ended time.Duration
 }
 
-// ServerHash is the hash by which a crash names its server.
+// ServerHash returns the hash that identifies a server in a crash.
 func ServerHash(id string) uint64 { return xxhash.Sum64String(id) }
 
-func (c Crash) end() End { return End{Server: c.Server, At: c.Ended} }
+func (c Crash) exit() End { return End{Server: c.Server, At: c.Ended} }
 
-// contains reports whether one of crashes is the end of a server.
-func contains(crashes []Crash, e End) bool {
-	return slices.ContainsFunc(crashes, func(c Crash) bool { return c.end().same(e) })
+// containsExit reports whether one of the crashes is the given exit.
+func containsExit(crashes []Crash, e End) bool {
+	return slices.ContainsFunc(crashes, func(c Crash) bool { return c.exit().matches(e) })
 }
 
-// add returns crashes, which are in the order of their ends, with another one.
-func add(crashes []Crash, c Crash) (out []Crash, isNew bool) {
-	if len(crashes) >= maxCrashes || contains(crashes, c.end()) {
+// insertCrash returns crashes, sorted by time of exit, with c inserted. It leaves them
+// unchanged if they contain c already or are at maxCrashes.
+func insertCrash(crashes []Crash, c Crash) (out []Crash, isNew bool) {
+	if len(crashes) >= maxCrashes || containsExit(crashes, c.exit()) {
 		return crashes, false
 	}
 	at, _ := slices.BinarySearchFunc(crashes, c, func(a, b Crash) int {
@@ -49,9 +50,9 @@
 	return slices.Insert(slices.Clone(crashes), at, c), true
 }
 
-// successive counts the crashes that follow on each other, of a list in the order of
-// their ends.
-func successive(crashes []Crash) (n int) {
+// countSuccessive counts the crashes in which the request was sent only after the previous
+// counted crash. The list is sorted by time of exit.
+func countSuccessive(crashes []Crash) (n int) {
 	var last time.Duration
 	for _, c := range crashes {
 		if n == 0 || c.Began+clockError >= last {
--- a/decide/poison/doc.go
+++ b/decide/poison/doc.go
@@ -1,21 +1,20 @@
-// Package poison recognizes requests that crash the backend servers that run them, also
-// known as queries of death, from what all instances saw.
+// Package poison detects requests that crash the backend servers that run them (queries of
+// death) from the crashes seen by all instances.
 //
-// A server runs a batch, so one request that ends it ends some twenty others with it,
-// and each of these looks like the cause. What tells them apart is that the cause ends
-// the next server too. So evidence is counted per request, over all instances and client
-// attempts:
+// A server runs requests in batches, so a request that crashes it also ends some twenty
+// others, each of which looks like the cause. Only the actual cause crashes the next server
+// too. So crashes are counted per request, over all instances and client attempts:
 //
-//   - Only ends that follow on each other count: a run that began after the last one.
-//     A request that many callers send at once runs on many servers, and a rack that
-//     fails ends them all with it at the same moment.
-//   - Nor does the end of a server at the same moment as others that did not run the
-//     request: they have a cause in common.
-//   - The more servers end without the request, the more ends are needed: a request that
-//     runs for a second while servers come and go meets some by chance.
-//   - An answer clears what was counted: it proves that the request can be run.
-//   - An end that a request with more ends to its account was also part of is explained
-//     by that one and not counted.
+//   - Only successive crashes count: the request was sent after the previous crash. A
+//     request that many callers send at once runs on many servers, and a rack failure ends
+//     all of these runs at the same moment.
+//   - A crash at the same moment as exits of other servers that did not run the request
+//     does not count: they have a common cause.
+//   - The more servers exit without running the request, the more crashes are needed: a
+//     request that runs for a second while servers restart meets some exits by chance.
+//   - An answer clears the count: it proves that the request can be run.
+//   - A crash shared with a request that has more crashes is attributed to that request and
+//     not counted.
 //
-// The package does no I/O and reads no clock. Times are of the instance's own clock.
+// The package does no I/O and reads no clock. Times are those of the instance's own clock.
 package poison
--- a/decide/poison/key.go
+++ b/decide/poison/key.go
@@ -10,14 +10,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Key identifies a request whoever sends it again and wherever it arrives: the first half
-// of a SHA-256. A customer that wanted another's request refused would have to find a
-// second preimage, and the other's name is a part of it.
+// Key identifies a request independently of who sends it again and which instance receives
+// it. It is the first half of a SHA-256 hash, which includes the customer's name: to have
+// another customer's request refused, a customer would have to find a second preimage.
 type Key [sha256.Size / 2]byte
 
-// Identity is what two requests must have in common to be the same one.
+// Identity holds the fields in which two requests must agree to be the same request.
 type Identity struct {
-	// Customer is empty where requests need no key.
+	// Customer is empty if requests need no API key.
 	Customer     string
 	Method, Host string
 	// Target is the path and query exactly as sent.
@@ -37,8 +37,8 @@
 	return k
 }
 
-// writeField writes a field behind its length, so that no two lists of fields are the
-// same bytes.
+// writeField writes a field preceded by its length, so that different lists of fields never
+// produce the same bytes.
 func writeField(h hash.Hash, s string) {
 	var size [8]byte
 	binary.BigEndian.PutUint64(size[:], uint64(len(s)))
@@ -46,11 +46,11 @@
 	_, _ = io.WriteString(h, s)
 }
 
-// ParseKey reads what String writes.
+// ParseKey parses the format written by String.
 func ParseKey(text string) (k Key, err error) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != len(k) {
-		return k, errors.Newf("%q is no identity of a request, which has %d hexadecimal digits", text, 2*len(k))
+		return k, errors.Newf("%q is not a request identity of %d hexadecimal digits", text, 2*len(k))
 	}
 	return Key(raw), nil
 }
--- a/decide/poison/key_test.go
+++ b/decide/poison/key_test.go
@@ -31,7 +31,8 @@
 		Entry("the host", func(i *poison.Identity) { i.Host = "g" }),
 		Entry("the query", func(i *poison.Identity) { i.Target = "/a/1?x=3" }),
 		Entry("the body", func(i *poison.Identity) { i.Body = []byte("other") }),
-		// A customer named as another and the beginning of a path must not meet it.
-		Entry("where one field ends", func(i *poison.Identity) { i.Customer, i.Method = "schoolP", "OST" }),
+		// The boundary between two fields is part of the identity, so that a customer's
+		// name that ends with the start of the next field causes no collision.
+		Entry("the boundary between fields", func(i *poison.Identity) { i.Customer, i.Method = "schoolP", "OST" }),
 	)
 })
--- a/decide/poison/share.go
+++ b/decide/poison/share.go
@@ -6,36 +6,38 @@
 )
 
 const (
-	// fanOut is to how many instances a change is passed on. Five reach 99 of 100 when
-	// each instance passes it on once; gossip tells the others.
+	// fanOut is the number of instances that a change is sent to. With five, a change
+	// reaches 99 % of the instances when each forwards it once; gossip reaches the rest.
 	fanOut = 5
-	// repairEvery bounds how often all is told to an instance that knows something else.
-	// Between two changes that follow on each other all digests differ for a moment.
-	repairEvery = 300 * time.Millisecond
+	// repairInterval is the minimum time between two full transfers to instances with
+	// another state. While two changes in quick succession spread, all digests differ for a
+	// moment.
+	repairInterval = 300 * time.Millisecond
 )
 
-// Share decides whom an instance tells of what it knows. A change goes to a few instances
-// drawn at random, and each passes on what is new to it (an epidemic broadcast). Gossip
-// carries a digest; an instance that knows something else than the sender tells it all.
-// That repairs what was lost and tells instances that are new. It is used by one
-// goroutine at a time.
+// Disseminator decides which instances receive the changes of a table. A change is sent to
+// a few instances drawn at random, and each forwards what is new to it (an epidemic
+// broadcast). Gossip carries a digest, and an instance whose state differs from the
+// sender's sends it all records. This repairs lost messages and initializes new instances.
+// It is not safe for concurrent use.
 type Share struct {
-	rand     *rand.Rand
-	repaired time.Duration
-	told     bool
+	rand           *rand.Rand
+	repairedAt     time.Duration
+	repairedBefore bool
 }
 
-// NewShare returns a Share that draws from r.
+// NewDisseminator returns a Disseminator that draws from r.
 func NewShare(r *rand.Rand) *Share { return &Share{rand: r} }
 
-// Next returns which of n peers are told of a change.
+// PickPeers returns the indices of the peers, out of n, that a change is sent to.
 func (s *Share) Next(n int) []int { return s.rand.Perm(n)[:min(fanOut, n)] }
 
-// Repair reports whether a peer whose gossip carried a digest is to be told all.
-func (s *Share) Repair(now time.Duration, own, heard uint64) bool {
-	if own == heard || s.told && now-s.repaired < repairEvery {
+// ShouldRepair reports whether all records are to be sent now to a peer whose gossip
+// carried the remote digest. If so, it starts a new repairInterval.
+func (s *Share) Repair(now time.Duration, local, remote uint64) bool {
+	if local == remote || s.repairedBefore && now-s.repairedAt < repairInterval {
 		return false
 	}
-	s.told, s.repaired = true, now
+	s.repairedBefore, s.repairedAt = true, now
 	return true
 }
--- a/decide/poison/table.go
+++ b/decide/poison/table.go
@@ -10,163 +10,165 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Figures of the rulings.
+// Thresholds and times of the assessments.
 const (
-	// suspectAt is the number of successive crashes from which a request waits for what
-	// other instances know of it, poisonAt that from which it is not run any more.
-	suspectAt = 2
-	poisonAt  = 3
-	// mostNeeded is the number at which it is not run whatever else speaks for it: three
-	// servers more than the least.
-	mostNeeded = 6
-	// baseSpan is the time over which ends of servers without a request are counted, and
-	// byChance the probability below which a number of ends is no chance: of a million
-	// requests none should be refused for others' ends.
-	baseSpan = 10 * time.Second
-	byChance = 1e-7
-	// sameMoment is the time within which servers that end have a cause in common, and
-	// company the number of others from which they do.
-	sameMoment = 50 * time.Millisecond
-	company    = 2
-	// settleFor is what news of a crash takes to all instances.
-	settleFor = 100 * time.Millisecond
-	// firstQuarantine is the time after the crash that made a request known until it may
-	// be tried again; each further crash makes it quarantineGrowth times as long, up to
-	// longestQuarantine. Models and their servers are replaced within hours.
-	firstQuarantine   = 2 * time.Minute
+	// suspectThreshold is the number of successive crashes from which a request waits for
+	// reports of other instances, poisonThreshold that from which it is not run any more.
+	suspectThreshold = 2
+	poisonThreshold  = 3
+	// maxThreshold is the number of successive crashes from which a request is not run even
+	// if chance or another request may explain them. It costs three more servers than
+	// poisonThreshold.
+	maxThreshold = 6
+	// exitWindow is the time over which exits of servers are counted. maxChance is the
+	// probability below which a number of crashes is not attributed to chance: of a million
+	// requests none should be refused because of unrelated exits.
+	exitWindow = 10 * time.Second
+	maxChance  = 1e-7
+	// coincidenceWindow is the time within which exits of servers have a common cause,
+	// minCoincident the number of other servers from which they do.
+	coincidenceWindow = 50 * time.Millisecond
+	minCoincident     = 2
+	// propagationTime is the time in which a report of a crash reaches all instances.
+	propagationTime = 100 * time.Millisecond
+	// initialQuarantine is how long a request is not run after the crash that made it
+	// poisonous. Each further crash multiplies the time by quarantineGrowth, up to
+	// maxQuarantine. Models and their servers are replaced within hours.
+	initialQuarantine = 2 * time.Minute
 	quarantineGrowth  = 10
-	longestQuarantine = 4 * time.Hour
-	// keepQuarantined is how long a request stays known after its quarantine, and
-	// keepSuspect how long one that was not known to crash servers, or was answered.
-	keepQuarantined = 10 * time.Minute
-	keepSuspect     = 2 * time.Minute
-	// maxRecords bounds the table: some 150 bytes each. maxEnds bounds the ends of servers
-	// that are remembered for baseSpan.
+	maxQuarantine     = 4 * time.Hour
+	// quarantineRetention is how long a record is kept after its quarantine,
+	// suspectRetention how long that of a request that was not quarantined, or was
+	// answered.
+	quarantineRetention = 10 * time.Minute
+	suspectRetention    = 2 * time.Minute
+	// maxRecords bounds the table, at about 150 bytes a record. maxExits bounds the exits
+	// of servers that are kept for exitWindow.
 	maxRecords = 512
-	maxEnds    = 1024
+	maxExits   = 1024
 )
 
-// Record is what is known of one request.
+// Record holds the crashes of one request.
 type Record struct {
 	Key Key
-	// Round rises with each answer. News of an earlier round is void.
+	// Round increases with each answer. Reports of an earlier round are obsolete.
 	Round uint32
-	// Crashes are those since the last answer, in the order of their ends.
+	// Crashes are those since the last answer, sorted by time of exit.
 	Crashes []Crash
-	// Changed is when the newest crash or answer was noted.
+	// Changed is when the newest crash or answer was recorded.
 	Changed time.Duration
 }
 
 type record struct {
 	Record
-	// private tells that the request is in progress here for the first time. Most end
-	// with an answer from the next server, and nobody else need hear of them.
-	private bool
+	// localOnly is set while other instances need no report: the request has had one crash
+	// and is still in progress here. Most such requests are answered by the next server.
+	localOnly bool
 }
 
-// Verdict says what to do with a request.
+// Verdict classifies a request.
 type Verdict int
 
 // The verdicts.
 const (
-	// Innocent: it may be run.
+	// Clean requests may be run.
 	Innocent Verdict = iota
-	// Suspect: it may be run, after a wait.
+	// Suspect requests may be run after a wait.
 	Suspect
-	// Poisonous: it is not to be run.
+	// Poisonous requests must not be run.
 	Poisonous
 )
 
-// Ruling is a verdict with its reason.
+// Assessment is a verdict with its reason.
 type Ruling struct {
 	Verdict Verdict
-	// Crashes is the number of successive crashes that speak against the request.
+	// Crashes is the number of successive crashes attributed to the request.
 	Crashes int
-	// Wait is how long to wait before judging again.
+	// Wait is how long to wait before the request is assessed again.
 	Wait time.Duration
-	// RetryAfter is when a poisonous request may be tried again.
+	// RetryAfter is the time until a poisonous request may be run again.
 	RetryAfter time.Duration
 }
 
-// Table is what one instance knows of requests that were part of crashes. It is not safe
-// for concurrent use.
+// Table holds the records of the requests that were running when servers crashed, as known
+// to one instance. It is not safe for concurrent use.
 type Table struct {
 	records map[Key]*record
-	// untold are the keys of records that changed since TakeChanged.
-	untold map[Key]bool
-	// ends are the ends of servers, whatever they ran, untoldEnds those that are new since
-	// TakeChanged.
-	ends       []End
-	untoldEnds []End
+	// changed holds the keys of records that changed since TakeChanged.
+	changed map[Key]bool
+	// exits are the recent exits of servers, whatever they ran; newExits are those added
+	// since TakeChanged.
+	exits    []End
+	newExits []End
 }
 
-// End is the end of a server.
+// ServerExit is the exit of a server.
 type End struct {
 	// Server is a hash of the server's ID.
 	Server uint64
 	At     time.Duration
 }
 
-// Changes are what others are told.
+// Changes are the updates to send to other instances.
 type Changes struct {
 	Records []Record
 	Ends    []End
 }
 
-// Empty reports whether there is nothing to tell.
+// Empty reports whether there is nothing to send.
 func (c Changes) Empty() bool { return len(c.Records) == 0 && len(c.Ends) == 0 }
 
 // NewTable returns an empty table.
-func NewTable() *Table { return &Table{records: map[Key]*record{}, untold: map[Key]bool{}} }
+func NewTable() *Table { return &Table{records: map[Key]*record{}, changed: map[Key]bool{}} }
 
-// Len is the number of requests in the table.
+// Len returns the number of requests in the table.
 func (t *Table) Len() int { return len(t.records) }
 
-// Ends is the number of servers that ended lately.
-func (t *Table) Ends() int { return len(t.ends) }
+// Exits returns the number of recent exits of servers.
+func (t *Table) Ends() int { return len(t.exits) }
 
-// Note adds a crash that this instance saw.
+// AddCrash records a crash that this instance detected.
 func (t *Table) Note(now time.Duration, k Key, c Crash) {
-	t.MergeEnd(now, c.end())
+	t.MergeEnd(now, c.exit())
 	r := t.records[k]
 	if r == nil {
-		r = &record{Record: Record{Key: k}, private: true}
+		r = &record{Record: Record{Key: k}, localOnly: true}
 		t.records[k] = r
 	}
 	var isNew bool
-	if r.Crashes, isNew = add(r.Crashes, c); !isNew {
+	if r.Crashes, isNew = insertCrash(r.Crashes, c); !isNew {
 		return
 	}
 	r.Changed = now
-	r.private = r.private && successive(r.Crashes) < suspectAt
-	t.told(r)
-	t.bound()
+	r.localOnly = r.localOnly && countSuccessive(r.Crashes) < suspectThreshold
+	t.markChanged(r)
+	t.evict()
 }
 
-// Failed notes that a request ended without an answer: the next attempt may arrive at
-// another instance.
+// MarkFailed records that a request ended without an answer. The client's next attempt may
+// arrive at another instance, so the record is shared.
 func (t *Table) Failed(k Key) {
-	if r := t.records[k]; r != nil && r.private {
-		r.private = false
-		t.told(r)
+	if r := t.records[k]; r != nil && r.localOnly {
+		r.localOnly = false
+		t.markChanged(r)
 	}
 }
 
-// Answered notes that a server answered a request.
+// MarkAnswered records that a server answered a request.
 func (t *Table) Answered(now time.Duration, k Key) {
 	r := t.records[k]
 	switch {
 	case r == nil:
-	case r.private:
+	case r.localOnly:
 		t.drop(k)
 	case len(r.Crashes) > 0:
 		r.Round++
 		r.Crashes, r.Changed = nil, now
-		t.told(r)
+		t.markChanged(r)
 	}
 }
 
-// Merge takes over what another instance knows.
+// Merge adds a record reported by another instance.
 func (t *Table) Merge(now time.Duration, in Record) {
 	if now >= expiry(in) {
 		return
@@ -175,81 +177,81 @@
 	if r == nil {
 		r = &record{Record: Record{Key: in.Key, Round: in.Round}}
 		t.records[in.Key] = r
-		t.told(r)
+		t.markChanged(r)
 	}
 	if in.Round < r.Round {
 		return
 	}
 	if in.Round > r.Round {
 		r.Round, r.Crashes = in.Round, nil
-		t.told(r)
+		t.markChanged(r)
 	}
-	if r.private {
-		r.private = false
-		t.told(r)
+	if r.localOnly {
+		r.localOnly = false
+		t.markChanged(r)
 	}
 	r.Changed = max(r.Changed, min(now, in.Changed))
 	for _, c := range in.Crashes {
 		var isNew bool
-		if r.Crashes, isNew = add(r.Crashes, c); isNew {
-			t.told(r)
+		if r.Crashes, isNew = insertCrash(r.Crashes, c); isNew {
+			t.markChanged(r)
 		}
 	}
-	t.bound()
+	t.evict()
 }
 
-func (t *Table) told(r *record) {
-	if !r.private {
-		t.untold[r.Key] = true
+func (t *Table) markChanged(r *record) {
+	if !r.localOnly {
+		t.changed[r.Key] = true
 	}
 }
 
-// MergeEnd takes over the end of a server.
+// MergeExit adds an exit of a server, unless it is old or known already.
 func (t *Table) MergeEnd(now time.Duration, e End) {
-	if now-e.At >= baseSpan || slices.ContainsFunc(t.ends, e.same) {
+	if now-e.At >= exitWindow || slices.ContainsFunc(t.exits, e.matches) {
 		return
 	}
-	if len(t.ends) >= maxEnds {
-		t.ends = t.ends[1:]
+	if len(t.exits) >= maxExits {
+		t.exits = t.exits[1:]
 	}
-	t.ends = append(t.ends, e)
-	t.untoldEnds = append(t.untoldEnds, e)
+	t.exits = append(t.exits, e)
+	t.newExits = append(t.newExits, e)
 }
 
-func (e End) same(o End) bool { return e.Server == o.Server && (e.At-o.At).Abs() < sameCrash }
+func (e End) matches(o End) bool { return e.Server == o.Server && (e.At-o.At).Abs() < sameExit }
 
-// TakeChanged returns what to tell others that changed since the last call.
+// TakeChanged returns the changes since the last call that other instances must receive.
 func (t *Table) TakeChanged() (out Changes) {
-	for k := range t.untold {
+	for k := range t.changed {
 		if r := t.records[k]; r != nil {
 			out.Records = append(out.Records, r.Record)
 		}
 	}
-	clear(t.untold)
-	out.Ends, t.untoldEnds = t.untoldEnds, nil
+	clear(t.changed)
+	out.Ends, t.newExits = t.newExits, nil
 	return out
 }
 
 // HasChanges reports whether TakeChanged has something to return.
-func (t *Table) HasChanges() bool { return len(t.untold) > 0 || len(t.untoldEnds) > 0 }
+func (t *Table) HasChanges() bool { return len(t.changed) > 0 || len(t.newExits) > 0 }
 
-// All returns the records that others are told of.
+// All returns the records that are shared with other instances.
 func (t *Table) All() []Record {
 	var out []Record
 	for _, r := range t.records {
-		if !r.private {
+		if !r.localOnly {
 			out = append(out, r.Record)
 		}
 	}
 	return out
 }
 
-// Digest is a hash of what All returns, zero for nothing. Instances of one digest know
-// the same. Records that are about to expire are left out: they do so at slightly
-// different moments everywhere.
+// Digest returns a hash of the records that All returns, or zero if there are none.
+// Instances with the same digest know the same. Records that are about to expire are left
+// out, because instances drop them at slightly different moments.
 func (t *Table) Digest(now time.Duration) (sum uint64) {
 	for _, r := range t.records {
-		if !r.private && now < expiry(r.Record)-keepSuspect/2 {
+		if !r.localOnly && now < expiry(r.Record)-suspectRetention/2 {
 			sum += r.digest()
 		}
 	}
@@ -267,23 +269,23 @@
 	return xxhash.Sum64(raw)
 }
 
-// Judge rules on a request that is about to be sent to one of so many servers.
+// Assess assesses a request that is about to be sent to one of the given number of servers.
 func (t *Table) Judge(now time.Duration, k Key, servers int) Ruling {
 	r := t.records[k]
 	if r == nil {
 		return Ruling{}
 	}
-	crashes, rival := t.unexplained(r)
-	crashes = t.inCompany(crashes)
-	n := successive(crashes)
-	if n < suspectAt {
+	crashes, rival := t.unexplainedCrashes(r)
+	crashes = t.withoutCoincident(crashes)
+	n := countSuccessive(crashes)
+	if n < suspectThreshold {
 		return Ruling{Crashes: n}
 	}
 	last := crashes[len(crashes)-1].Ended
-	if settled := last + settleFor; now < settled {
-		return Ruling{Verdict: Suspect, Crashes: n, Wait: settled - now}
+	if propagated := last + propagationTime; now < propagated {
+		return Ruling{Verdict: Suspect, Crashes: n, Wait: propagated - now}
 	}
-	if n < t.needed(crashes, servers) || (rival && n < mostNeeded) {
+	if n < t.requiredCrashes(crashes, servers) || (rival && n < maxThreshold) {
 		return Ruling{Verdict: Suspect, Crashes: n}
 	}
 	if until := last + quarantine(n); now < until {
@@ -292,85 +294,86 @@
 	return Ruling{Verdict: Suspect, Crashes: n}
 }
 
-// unexplained returns the crashes of a request that no other one explains, and whether
-// another one was part of all of them and may be the cause as well.
-func (t *Table) unexplained(r *record) (crashes []Crash, rival bool) {
+// unexplainedCrashes returns the crashes of a request that no other request explains, and
+// whether another request was running in all of them and is equally likely the cause.
+func (t *Table) unexplainedCrashes(r *record) (crashes []Crash, rival bool) {
 	crashes = r.Crashes
 	for _, o := range t.records {
-		if o == r || len(o.Crashes) < poisonAt {
+		if o == r || len(o.Crashes) < poisonThreshold {
 			continue
 		}
-		own, others := successive(r.Crashes), successive(o.Crashes)
+		count, otherCount := countSuccessive(r.Crashes), countSuccessive(o.Crashes)
 		switch {
-		case others > own:
-			crashes = slices.DeleteFunc(slices.Clone(crashes), func(c Crash) bool { return contains(o.Crashes, c.end()) })
-		case others == own:
-			rival = rival || !slices.ContainsFunc(r.Crashes, func(c Crash) bool { return !contains(o.Crashes, c.end()) })
+		case otherCount > count:
+			crashes = slices.DeleteFunc(slices.Clone(crashes), func(c Crash) bool { return containsExit(o.Crashes, c.exit()) })
+		case otherCount == count:
+			rival = rival || !slices.ContainsFunc(r.Crashes, func(c Crash) bool { return !containsExit(o.Crashes, c.exit()) })
 		}
 	}
 	return crashes, rival
 }
 
-// inCompany returns crashes without those at whose moment other servers ended too, that
-// did not run the request.
-func (t *Table) inCompany(crashes []Crash) []Crash {
+// withoutCoincident returns the crashes without those that coincide with exits of other
+// servers, which did not run the request.
+func (t *Table) withoutCoincident(crashes []Crash) []Crash {
 	return slices.DeleteFunc(slices.Clone(crashes), func(c Crash) bool {
 		others := 0
-		for _, e := range t.ends {
-			if (e.At-c.Ended).Abs() < sameMoment && !contains(crashes, e) {
+		for _, e := range t.exits {
+			if (e.At-c.Ended).Abs() < coincidenceWindow && !containsExit(crashes, e) {
 				others++
 			}
 		}
-		return others >= company
+		return others >= minCoincident
 	})
 }
 
-// needed is the number of crashes that is no chance: the probability that a request that
-// runs as long as this one meets so many ends of servers, of those that ended without it
-// before its last one. What ends later takes no ruling back.
-func (t *Table) needed(crashes []Crash, servers int) int {
+// requiredCrashes returns the number of crashes that is not attributed to chance. It
+// follows from the probability that a request that runs as long as this one meets so many
+// exits, given those of other servers before its last crash. Later exits do not reverse an
+// assessment.
+func (t *Table) requiredCrashes(crashes []Crash, servers int) int {
 	if servers <= 0 {
-		return poisonAt
+		return poisonThreshold
 	}
 	ran, others, last := time.Duration(0), 0, crashes[len(crashes)-1].Ended
 	for _, c := range crashes {
 		ran += (c.Ended - c.Began) / time.Duration(len(crashes))
 	}
-	for _, e := range t.ends {
-		if e.At > last-baseSpan && e.At < last+sameMoment && !contains(crashes, e) {
+	for _, e := range t.exits {
+		if e.At > last-exitWindow && e.At < last+coincidenceWindow && !containsExit(crashes, e) {
 			others++
 		}
 	}
-	chance := min(1, float64(others)/float64(servers)*float64(ran)/float64(baseSpan))
-	n := poisonAt
-	for p := chance * chance * chance; p > byChance && n < mostNeeded; p *= chance {
+	chance := min(1, float64(others)/float64(servers)*float64(ran)/float64(exitWindow))
+	n := poisonThreshold
+	for p := chance * chance * chance; p > maxChance && n < maxThreshold; p *= chance {
 		n++
 	}
 	return n
 }
 
-// quarantine is how long a request with so many crashes is not run.
+// quarantine returns how long a request with the given number of crashes is not run.
 func quarantine(crashes int) time.Duration {
-	d := firstQuarantine
-	for range crashes - poisonAt {
-		if d = d * quarantineGrowth; d >= longestQuarantine {
-			return longestQuarantine
+	d := initialQuarantine
+	for range crashes - poisonThreshold {
+		if d = d * quarantineGrowth; d >= maxQuarantine {
+			return maxQuarantine
 		}
 	}
 	return d
 }
 
-// expiry is when a record is forgotten.
+// expiry returns when a record is dropped.
 func expiry(r Record) time.Duration {
-	if n := successive(r.Crashes); n >= poisonAt {
-		return r.Changed + quarantine(n) + keepQuarantined
+	if n := countSuccessive(r.Crashes); n >= poisonThreshold {
+		return r.Changed + quarantine(n) + quarantineRetention
 	}
-	return r.Changed + keepSuspect
+	return r.Changed + suspectRetention
 }
 
-// Expire forgets what is too old to matter.
+// Expire drops old exits and records.
 func (t *Table) Expire(now time.Duration) {
-	t.ends = slices.DeleteFunc(t.ends, func(e End) bool { return now-e.At >= baseSpan })
+	t.exits = slices.DeleteFunc(t.exits, func(e End) bool { return now-e.At >= exitWindow })
 	for k, r := range t.records {
 		if now >= expiry(r.Record) {
 			t.drop(k)
@@ -380,19 +383,19 @@
 
 func (t *Table) drop(k Key) {
 	delete(t.records, k)
-	delete(t.untold, k)
+	delete(t.changed, k)
 }
 
-// bound drops the least guilty of too many records, of equals the oldest. A customer
-// that sends ever new bodies cannot so have a request forgotten that is known to crash
-// servers, unless it crashes as many servers for each of them.
-func (t *Table) bound() {
+// evict drops the record with the fewest successive crashes, and of these the oldest, if
+// there are too many. So a customer that sends ever new bodies cannot evict a poisonous
+// request, unless each of them crashes as many servers.
+func (t *Table) evict() {
 	if len(t.records) <= maxRecords {
 		return
 	}
 	least := slices.MinFunc(slices.Collect(maps.Values(t.records)), func(a, b *record) int {
 		return cmp.Or(
-			cmp.Compare(successive(a.Crashes), successive(b.Crashes)),
+			cmp.Compare(countSuccessive(a.Crashes), countSuccessive(b.Crashes)),
 			cmp.Compare(a.Changed, b.Changed),
 			slices.Compare(a.Key[:], b.Key[:]))
 	})
