--- a/decide/attempt/attempt.go
+++ b/decide/attempt/attempt.go
@@ -1,6 +1,5 @@
-// Package attempt decides what follows when an attempt of a request at a
-// backend server did not end well: another attempt, a refusal, or a failure. It
-// does no I/O and reads no clock.
+// Package attempt decides what follows a failed attempt to run a request on a backend
+// server: a retry, a refusal or a failure. It does no I/O and reads no clock.
 package attempt
 
 import "github.com/auburnmoor/auburnmoor/decide/route"
@@ -10,16 +9,16 @@
 
 // The outcomes.
 const (
-	// NotSent: no byte reached the server.
+	// NotSent means that no byte reached the server.
 	NotSent Outcome = iota
-	// NotRun: the server promised that it did not run the request.
+	// NotRun means that the server guarantees that it did not run the request.
 	NotRun
-	// Broken: the connection failed after the request was sent, or the answer
-	// was not one. The request may have run.
+	// Broken means that the connection failed after the request was sent, or that the
+	// answer was invalid. The request may have run.
 	Broken
-	// Silent: nothing came within the time that the attempt was given.
+	// Silent means that no data arrived within the time of the attempt.
 	Silent
-	// ServerError: the server ran the request and reports a failure of its own.
+	// ServerError means that the server ran the request and reported its own failure.
 	ServerError
 )
 
@@ -28,21 +27,21 @@
 	return [...]string{"not_sent", "not_run", "broken", "silent", "server_error"}[o]
 }
 
-// Action is what to do next.
+// Action is what to do after a failed attempt.
 type Action int
 
 // The actions.
 const (
 	// Retry sends the request to another server, or resumes the stream there.
 	Retry Action = iota
-	// Refuse tells the client that the request did not run and will not.
+	// Refuse tells the client that the request did not run and will not run.
 	Refuse
 	// Fail tells the client that the request failed and may have run.
 	Fail
-	// PassOn gives the client the server's own answer.
+	// PassOn forwards the server's own answer to the client.
 	PassOn
-	// Abort breaks the client's connection off, because a part of the answer is
-	// out already and the rest cannot be had.
+	// Abort closes the client's connection, because a part of the answer was sent and the
+	// rest is not available.
 	Abort
 )
 
@@ -51,42 +50,42 @@
 	return [...]string{"retry", "refuse", "fail", "pass_on", "abort"}[a]
 }
 
-// maxDials bounds the servers tried that could not be reached. Three that are
-// down at once point to a fault of this instance's own network.
-const maxDials = 4
+// maxDialFailures bounds the servers tried that could not be reached. Three unreachable
+// servers at once already indicate a fault of this instance's own network.
+const maxDialFailures = 4
 
-// State is what an entry knows of one client attempt.
+// State is the state of one client attempt at the instance that received it.
 type State struct {
 	route *route.Route
-	// sent counts the attempts that may have reached a server, dials those that
-	// did not.
-	sent, dials int
-	mayHaveRun  bool
-	forwarded   bool
+	// sent counts the attempts that may have reached a server, dialFailures those that did
+	// not.
+	sent, dialFailures int
+	mayHaveRun         bool
+	forwarded          bool
 }
 
-// New returns the state of a request that was sent nowhere.
+// New returns the state of a request that has not been sent yet.
 func New(r *route.Route) *State { return &State{route: r} }
 
-// Forwarded notes that a part of the answer reached the client.
+// MarkForwarded records that a part of the answer was forwarded to the client.
 func (s *State) Forwarded() { s.forwarded = true }
 
 // MayHaveRun reports whether a server may have run the request.
 func (s *State) MayHaveRun() bool { return s.mayHaveRun }
 
-// Sent counts the attempts that may have reached a server.
+// Sent returns the number of attempts that may have reached a server.
 func (s *State) Sent() int { return s.sent }
 
-// Last reports whether no other attempt may follow the present one.
+// IsLast reports whether the current attempt is the last one allowed.
 func (s *State) Last() bool { return s.sent+1 >= s.route.MaxAttempts }
 
-// Next takes the outcome of an attempt. budget is asked only when a retry would
-// otherwise follow.
+// Next returns what follows an attempt with the given outcome. It calls budget only if a
+// retry is possible otherwise.
 func (s *State) Next(o Outcome, budget func() bool) Action {
 	switch o {
 	case NotSent:
-		s.dials++
-		if s.dials < maxDials {
+		s.dialFailures++
+		if s.dialFailures < maxDialFailures {
 			return Retry
 		}
 		return s.giveUp()
@@ -99,15 +98,15 @@
 	if s.mayRepeat(o) && s.sent < s.route.MaxAttempts && budget() {
 		return Retry
 	}
-	// Behind the beginning of a stream another answer would complete it falsely.
+	// After the beginning of a stream, the server's error would look like its continuation.
 	if o == ServerError && !s.forwarded {
 		return PassOn
 	}
 	return s.giveUp()
 }
 
-// mayRepeat holds the rule that a request which may run once only is sent again
-// only after a promise that it did not run.
+// mayRepeat reports whether the request may be sent again. A request that may run only once
+// is sent again only if no server can have run it.
 func (s *State) mayRepeat(o Outcome) bool {
 	switch o {
 	case NotRun:
--- a/decide/attempt/attempt_test.go
+++ b/decide/attempt/attempt_test.go
@@ -13,8 +13,8 @@
 
 func TestAttempt(t *testing.T) { testkit.Suite(t, "attempt") }
 
-func yes() bool { return true }
-func no() bool  { return false }
+func allow() bool { return true }
+func deny() bool  { return false }
 
 var (
 	idempotent = &route.Route{Kind: route.Idempotent, MaxAttempts: 2}
@@ -23,14 +23,14 @@
 	stream     = &route.Route{Kind: route.Stream, MaxAttempts: 2}
 )
 
-var _ = Describe("what follows a failed attempt", func() {
-	DescribeTable("the first", func(r *route.Route, o attempt.Outcome, want attempt.Action) {
-		Expect(attempt.New(r).Next(o, yes)).To(Equal(want))
+var _ = Describe("the action after a failed attempt", func() {
+	DescribeTable("after the first attempt", func(r *route.Route, o attempt.Outcome, want attempt.Action) {
+		Expect(attempt.New(r).Next(o, allow)).To(Equal(want))
 	},
 		Entry("idempotent, broken", idempotent, attempt.Broken, attempt.Retry),
 		Entry("idempotent, silent", idempotent, attempt.Silent, attempt.Retry),
 		Entry("idempotent, failed at the server", idempotent, attempt.ServerError, attempt.Retry),
-		// The server may have run it before the connection broke.
+		// The server may have run the request before the connection broke.
 		Entry("once, broken", once, attempt.Broken, attempt.Fail),
 		Entry("once, silent", once, attempt.Silent, attempt.Fail),
 		Entry("once, failed at the server", once, attempt.ServerError, attempt.PassOn),
@@ -41,44 +41,44 @@
 		Entry("other stream, not run", stream, attempt.NotRun, attempt.Retry),
 	)
 
-	DescribeTable("the last", func(r *route.Route, first, second attempt.Outcome, want attempt.Action) {
+	DescribeTable("after the last attempt", func(r *route.Route, first, second attempt.Outcome, want attempt.Action) {
 		s := attempt.New(r)
-		Expect(s.Next(first, yes)).To(Equal(attempt.Retry))
-		Expect(s.Next(second, yes)).To(Equal(want))
+		Expect(s.Next(first, allow)).To(Equal(attempt.Retry))
+		Expect(s.Next(second, allow)).To(Equal(want))
 	},
-		Entry("never ran", idempotent, attempt.NotRun, attempt.NotRun, attempt.Refuse),
-		// A refusal would promise that it did not run.
-		Entry("may have run before it was turned away", idempotent, attempt.Broken, attempt.NotRun, attempt.Fail),
-		Entry("may have run after it was turned away", once, attempt.NotRun, attempt.Broken, attempt.Fail),
-		Entry("passed on", idempotent, attempt.Broken, attempt.ServerError, attempt.PassOn),
+		Entry("never run", idempotent, attempt.NotRun, attempt.NotRun, attempt.Refuse),
+		// A refusal would guarantee that the request did not run.
+		Entry("broken, then not run", idempotent, attempt.Broken, attempt.NotRun, attempt.Fail),
+		Entry("not run, then broken", once, attempt.NotRun, attempt.Broken, attempt.Fail),
+		Entry("broken, then failed at the server", idempotent, attempt.Broken, attempt.ServerError, attempt.PassOn),
 	)
 
-	It("refuses without a budget for retries", func() {
-		Expect(attempt.New(once).Next(attempt.NotRun, no)).To(Equal(attempt.Refuse))
-		Expect(attempt.New(idempotent).Next(attempt.Broken, no)).To(Equal(attempt.Fail))
+	It("does not retry without budget", func() {
+		Expect(attempt.New(once).Next(attempt.NotRun, deny)).To(Equal(attempt.Refuse))
+		Expect(attempt.New(idempotent).Next(attempt.Broken, deny)).To(Equal(attempt.Fail))
 	})
 
-	It("breaks off what has begun and cannot go on", func() {
+	It("aborts a stream that has begun and cannot be resumed", func() {
 		s := attempt.New(stream)
 		s.Forwarded()
-		Expect(s.Next(attempt.Broken, yes)).To(Equal(attempt.Abort))
+		Expect(s.Next(attempt.Broken, allow)).To(Equal(attempt.Abort))
 	})
 
-	// A review ends in the middle and looks complete: its stream broke, the server
-	// that was to go on answered 500, and that answer was appended.
-	It("never passes on a server's failure behind the beginning of a stream", func() {
+	// Guards against a truncated stream that looks complete: the stream broke, the server
+	// that was to resume it answered 500, and that answer was appended.
+	It("does not pass on a server error after the beginning of a stream", func() {
 		s := attempt.New(resumable)
 		s.Forwarded()
-		Expect(s.Next(attempt.Broken, yes)).To(Equal(attempt.Retry))
-		Expect(s.Next(attempt.ServerError, yes)).To(Equal(attempt.Abort))
+		Expect(s.Next(attempt.Broken, allow)).To(Equal(attempt.Retry))
+		Expect(s.Next(attempt.ServerError, allow)).To(Equal(attempt.Abort))
 	})
 
-	It("does not count servers that could not be reached as attempts, but bounds them", func() {
+	It("does not count unreachable servers as attempts, but bounds them", func() {
 		s := attempt.New(once)
 		for range 3 {
-			Expect(s.Next(attempt.NotSent, yes)).To(Equal(attempt.Retry))
+			Expect(s.Next(attempt.NotSent, allow)).To(Equal(attempt.Retry))
 		}
-		Expect(s.Next(attempt.NotSent, yes)).To(Equal(attempt.Refuse))
+		Expect(s.Next(attempt.NotSent, allow)).To(Equal(attempt.Refuse))
 		Expect(s.Sent()).To(BeZero())
 	})
 })
--- a/decide/attempt/silence.go
+++ b/decide/attempt/silence.go
@@ -2,28 +2,26 @@
 
 import "time"
 
-// Clients give a stream up after a silence of clientLeast, clientFirsts times
-// the useful time to the first event or clientGaps times the useful pause,
-// whichever is longest. An attempt ends at shareOfClient of that, so that
-// another one may still follow.
+// Clients give up a stream after a silence of minClientTimeout, firstEventFactor times the
+// target time to the first event or gapFactor times the target gap between events,
+// whichever is longest. An attempt ends after clientTimeoutShare of that time, so that a
+// retry can still follow.
 const (
-	clientLeast   = 2 * time.Second
-	clientFirsts  = 4
-	clientGaps    = 8
-	shareOfClient = 0.85
+	minClientTimeout   = 2 * time.Second
+	firstEventFactor   = 4
+	gapFactor          = 8
+	clientTimeoutShare = 0.85
 )
 
-// ExtendBy is how long an attempt at busy servers goes on before it is looked at
-// again.
+// ExtendInterval is how long an attempt at overloaded servers continues before it is
+// checked again.
 const ExtendBy = 500 * time.Millisecond
 
-// WaitOn decides whether an attempt from which nothing came for as long as it
-// was given goes on. silent is the time since anything came, busy tells that the
-// servers are known to have more to do than they can do at once. Sending a
-// prompt again has all of it read again, so a second attempt for each late one
-// makes an overload outlast the burst that caused it: in one day of bursts 107
-// prompts were sent twice without that.
-func WaitOn(silent time.Duration, busy bool, first, gap time.Duration) bool {
-	client := max(clientLeast, clientFirsts*first, clientGaps*gap)
-	return busy && silent < time.Duration(shareOfClient*float64(client))
+// ShouldWait reports whether an attempt continues after no data arrived within its time.
+// silent is the time since the last data, overloaded whether the servers are known to be
+// overloaded. A retry repeats the whole prefill, so a retry of each late attempt (107
+// prompts in one day of bursts) prolongs an overload beyond the burst that caused it.
+func WaitOn(silent time.Duration, overloaded bool, first, gap time.Duration) bool {
+	clientTimeout := max(minClientTimeout, firstEventFactor*first, gapFactor*gap)
+	return overloaded && silent < time.Duration(clientTimeoutShare*float64(clientTimeout))
 }
--- a/decide/attempt/silence_test.go
+++ b/decide/attempt/silence_test.go
@@ -9,26 +9,26 @@
 	"github.com/auburnmoor/auburnmoor/decide/attempt"
 )
 
-var _ = Describe("an attempt from which nothing comes", func() {
+var _ = Describe("an attempt without data", func() {
 	const first, gap = 3 * time.Second, time.Second
 
-	// Appeals are late for many seconds after a burst has ended: each one whose
-	// first event was late was sent to other engines as well, so all of it was
-	// read twice while the engines were already behind.
-	It("goes on while the servers are overloaded", func() {
+	// Guards against an overload that outlasts its burst: each request whose first event
+	// was late was sent to another engine, which repeated its prefill while the engines
+	// were overloaded.
+	It("continues while the servers are overloaded", func() {
 		Expect(attempt.WaitOn(5*time.Second, true, first, gap)).To(BeTrue())
 	})
 
-	It("ends at once when the servers have little to do", func() {
+	It("ends at once if the servers are not overloaded", func() {
 		Expect(attempt.WaitOn(5*time.Second, false, first, gap)).To(BeFalse())
 	})
 
-	It("ends while the client still waits for another attempt", func() {
+	It("ends while the client would still wait for a retry", func() {
 		Expect(attempt.WaitOn(10*time.Second, true, first, gap)).To(BeTrue())
 		Expect(attempt.WaitOn(10500*time.Millisecond, true, first, gap)).To(BeFalse())
 	})
 
-	It("takes the longest of the client's bounds", func() {
+	It("uses the longest of the client's timeouts", func() {
 		Expect(attempt.WaitOn(1600*time.Millisecond, true, 300*time.Millisecond, 250*time.Millisecond)).To(BeTrue())
 		Expect(attempt.WaitOn(1800*time.Millisecond, true, 300*time.Millisecond, 250*time.Millisecond)).To(BeFalse())
 		Expect(attempt.WaitOn(6*time.Second, true, 300*time.Millisecond, time.Second)).To(BeTrue())
