--- a/decide/retry/budget_test.go
+++ b/decide/retry/budget_test.go
@@ -15,8 +15,8 @@
 func TestRetry(t *testing.T) { testkit.Suite(t, "retry") }
 
 var _ = Describe("retries", func() {
-	// A failing fleet gets twice its load: every request is sent again.
-	It("stay within a share of the successes", func() {
+	// Guards against a doubled load on a failing fleet because every request is retried.
+	It("are limited to a share of the successes", func() {
 		b := retry.NewBudget(0.1)
 		retries := 0
 		for i := range 1000 {
@@ -30,7 +30,7 @@
 		Expect(b.Denied()).To(BeNumerically(">", 400))
 	})
 
-	It("are spread in time and bounded", func() {
+	It("are delayed by a bounded backoff with jitter", func() {
 		r := rand.New(rand.NewPCG(1, 1))
 		seen := map[time.Duration]bool{}
 		for range 100 {
--- a/decide/retry/window_test.go
+++ b/decide/retry/window_test.go
@@ -9,9 +9,9 @@
 	"github.com/auburnmoor/auburnmoor/decide/retry"
 )
 
-var _ = Describe("window", func() {
+var _ = Describe("a retry window", func() {
 	const length = 10 * time.Second
-	It("allows a share of the requests and a number", func() {
+	It("allows a share of the requests plus a fixed number", func() {
 		w := retry.NewWindow(length, 0.2, 3)
 		for range 50 {
 			w.Request(time.Second)
@@ -26,9 +26,9 @@
 		Expect(w.Denied()).To(Equal(uint64(87)))
 	})
 
-	// A failing service is loaded further by retries: those of two windows add up
-	// in the one that slides between them.
-	It("holds in every window, also a sliding one", func() {
+	// Guards against retries of two adjacent fixed windows that add up in a sliding window
+	// across both.
+	It("limits every sliding window", func() {
 		w := retry.NewWindow(length, 0, 10)
 		var at []time.Duration
 		for now := time.Duration(0); now < 60*time.Second; now += 37 * time.Millisecond {
@@ -48,7 +48,7 @@
 		Expect(len(at)).To(BeNumerically(">=", 55))
 	})
 
-	It("forgets everything after a long pause", func() {
+	It("starts afresh after a long pause", func() {
 		w := retry.NewWindow(length, 0, 1)
 		Expect(w.Take(0)).To(BeTrue())
 		Expect(w.Take(time.Second)).To(BeFalse())
