--- a/decide/orphan/orphan_test.go
+++ b/decide/orphan/orphan_test.go
@@ -15,20 +15,20 @@
 func TestOrphan(t *testing.T) { testkit.Suite(t, "orphan") }
 
 var _ = Describe("orphans", func() {
-	var tr *orphan.Tracker
+	var tracker *orphan.Tracker
 	alive := func(name string, inc uint64) bool { return name == "live" && inc == 7 }
 
-	BeforeEach(func() { tr = orphan.NewTracker() })
+	BeforeEach(func() { tracker = orphan.NewTracker() })
 
 	observe := func(now, age time.Duration, ids ...string) []string {
 		r := engine.Report{Engine: "e"}
 		for _, id := range ids {
 			r.Streams = append(r.Streams, engine.StreamState{ID: id, AgeMS: age.Milliseconds()})
 		}
-		return tr.Observe(now, r, alive)
+		return tracker.Observe(now, r, alive)
 	}
 
-	It("reads ids of streams and parts", func() {
+	It("parses IDs of streams and parts", func() {
 		id := orphan.Format("entry-1.x", 255, 3, 90*time.Second, true)
 		for _, name := range []string{id, id + ".2", id + "#1.2"} {
 			got, ok := orphan.Parse(name)
@@ -37,30 +37,29 @@
 		}
 	})
 
-	// An engine's memory stays full for ever: an instance was killed while it
-	// streamed, and the engine goes on generating for nobody.
-	It("cancels the streams of a dead instance within its grace", func() {
+	// Guards against engine memory that is never freed: an instance was killed while it
+	// streamed, and the engine continued to generate.
+	It("cancels the streams of a failed instance after the grace period", func() {
 		id := orphan.Format("dead", 1, 1, time.Minute, false) + ".1"
 		Expect(observe(0, time.Second, id)).To(BeEmpty())
 		Expect(observe(5*time.Second, 6*time.Second, id)).To(BeEmpty())
 		Expect(observe(11*time.Second, 12*time.Second, id)).To(Equal([]string{id}))
 	})
 
-	It("leaves the streams of live instances and of others alone", func() {
-		mine := orphan.Format("live", 7, 1, time.Minute, false) + ".1"
-		Expect(observe(0, time.Second, mine, "somebody-elses")).To(BeEmpty())
-		Expect(observe(time.Minute, time.Minute, mine, "somebody-elses")).To(BeEmpty())
+	It("keeps the streams of live instances and of other clients", func() {
+		id := orphan.Format("live", 7, 1, time.Minute, false) + ".1"
+		Expect(observe(0, time.Second, id, "somebody-elses")).To(BeEmpty())
+		Expect(observe(time.Minute, time.Minute, id, "somebody-elses")).To(BeEmpty())
 	})
 
-	It("cancels a stream that a live instance forgot, past its time limit", func() {
-		mine := orphan.Format("live", 7, 1, time.Minute, false) + ".1"
-		Expect(observe(0, 2*time.Minute, mine)).To(Equal([]string{mine}))
+	It("cancels a stream of a live instance that has exceeded its time limit", func() {
+		id := orphan.Format("live", 7, 1, time.Minute, false) + ".1"
+		Expect(observe(0, 2*time.Minute, id)).To(Equal([]string{id}))
 	})
 
-	// An appeal review is lost: its instance died, and the stream was cancelled
-	// before the caller came back for it. A request that may not be repeated
-	// keeps its stream until the time limit.
-	It("keeps the stream of a request that may not be repeated until its limit", func() {
+	// Guards against a lost answer: the instance failed, and the stream was cancelled
+	// before the caller repeated its request.
+	It("keeps the stream of a request that must not be repeated until its time limit", func() {
 		id := orphan.Format("dead", 1, 1, 5*time.Minute, true) + ".1"
 		Expect(observe(0, time.Second, id)).To(BeEmpty())
 		Expect(observe(time.Minute, time.Minute, id)).To(BeEmpty())
