--- a/decide/poison/table.go
+++ b/decide/poison/table.go
@@ -327,24 +327,24 @@
 	})
 }
 
-// requiredCrashes returns the number of crashes that is not attributed to chance. It
-// follows from the probability that a request that runs as long as this one meets so many
-// exits, given those of other servers before its last crash. Later exits do not reverse an
-// assessment.
+// requiredCrashes returns the number of successive crashes that is not attributed to
+// chance. It follows from the probability that a request that runs as long as this one
+// meets so many exits, given the exits of other servers before its last crash. Later exits
+// do not reverse an assessment.
 func (t *Table) requiredCrashes(crashes []Crash, servers int) int {
 	if servers <= 0 {
 		return poisonThreshold
 	}
-	ran, others, last := time.Duration(0), 0, crashes[len(crashes)-1].Ended
+	meanRun, others, last := time.Duration(0), 0, crashes[len(crashes)-1].Ended
 	for _, c := range crashes {
-		ran += (c.Ended - c.Began) / time.Duration(len(crashes))
+		meanRun += (c.Ended - c.Began) / time.Duration(len(crashes))
 	}
 	for _, e := range t.exits {
 		if e.At > last-exitWindow && e.At < last+coincidenceWindow && !containsExit(crashes, e) {
 			others++
 		}
 	}
-	chance := min(1, float64(others)/float64(servers)*float64(ran)/float64(exitWindow))
+	chance := min(1, float64(others)/float64(servers)*float64(meanRun)/float64(exitWindow))
 	n := poisonThreshold
 	for p := chance * chance * chance; p > maxChance && n < maxThreshold; p *= chance {
 		n++
@@ -388,16 +388,16 @@
 
 // evict drops the record with the fewest successive crashes, and of these the oldest, if
 // there are too many. So a customer that sends ever new bodies cannot evict a poisonous
-// request, unless each of them crashes as many servers.
+// request, unless each body crashes as many servers.
 func (t *Table) evict() {
 	if len(t.records) <= maxRecords {
 		return
 	}
-	least := slices.MinFunc(slices.Collect(maps.Values(t.records)), func(a, b *record) int {
+	victim := slices.MinFunc(slices.Collect(maps.Values(t.records)), func(a, b *record) int {
 		return cmp.Or(
 			cmp.Compare(countSuccessive(a.Crashes), countSuccessive(b.Crashes)),
 			cmp.Compare(a.Changed, b.Changed),
 			slices.Compare(a.Key[:], b.Key[:]))
 	})
-	t.drop(least.Key)
+	t.drop(victim.Key)
 }
