--- a/decide/claim/shard.go
+++ b/decide/claim/shard.go
@@ -349,8 +349,8 @@
 	return n
 }
 
-// handleResult records the outcome of a claimed request. It is committed with the next
-// batch: if it is lost in a crash, the answer is lost but the request is not run again.
+// handleResult records the outcome of a claimed request, to be committed with the next
+// batch. If it is lost in a crash, the answer is lost but the request is not run again.
 func (s *shard) handleResult(now time.Duration, res *peerpb.ClaimResult) {
 	k := KeyOf(res.Customer, res.Key)
 	r := s.keys[k]
