--- a/decide/claim/claim_test.go
+++ b/decide/claim/claim_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-func (h *host) advance(d time.Duration) {
+func (h *host) runFor(d time.Duration) {
 	for end := h.now + d; h.now < end; {
 		h.now += 50 * time.Millisecond
 		h.step(claim.Tick{})
@@ -179,7 +179,7 @@
 		for i := range 400 {
 			a.sendClaim(string(rune('a'+i%26))+string(rune('a'+i/26)), "r"+string(rune(1000+i)))
 		}
-		a.advance(2 * time.Second)
+		a.runFor(2 * time.Second)
 		Expect(store.writes-before).To(BeNumerically("<=", 3*claim.Shards), "400 claims were not batched")
 	})
 
@@ -191,7 +191,7 @@
 		a.sendClaim("k", "r1")
 		Expect(a.state("r1")).To(Equal(unknown))
 		store.loseReplies = false
-		a.advance(time.Second)
+		a.runFor(time.Second)
 		Expect(a.state("r1")).To(Equal(granted))
 		a.sendClaim("k", "r2")
 		Expect(a.state("r2")).To(Equal(running))
@@ -209,7 +209,7 @@
 		b.sendClaim("k", "r2")
 		Expect(b.state("r2")).To(Equal(granted))
 		a.release()
-		a.advance(time.Second)
+		a.runFor(time.Second)
 		Expect(a.state("r1")).NotTo(Equal(granted))
 	})
 
@@ -228,12 +228,12 @@
 	It("grants a key again whose claim was committed after it was refused", func() {
 		store.down = true
 		a.sendClaim("k", "r1")
-		a.advance(4 * time.Second)
+		a.runFor(4 * time.Second)
 		Expect(a.state("r1")).To(Equal(unavailable))
 		store.down = false
-		a.advance(2 * time.Second)
+		a.runFor(2 * time.Second)
 		a.sendClaim("k", "r2")
-		a.advance(time.Second)
+		a.runFor(time.Second)
 		Expect(a.state("r2")).To(Equal(granted))
 	})
 
@@ -241,14 +241,14 @@
 		a.sendClaim("k", "r1")
 		a.step(claim.Resulted{Result: &peerpb.ClaimResult{Customer: "c", Key: "k", RequestId: "r1", NotRun: true}})
 		a.sendClaim("k", "r2")
-		a.advance(time.Second)
+		a.runFor(time.Second)
 		Expect(a.state("r2")).To(Equal(granted))
 	})
 
 	It("reports where a model request runs, also after a change of owner", func() {
 		a.sendClaim("k", "r1")
 		a.step(claim.Resulted{Result: &peerpb.ClaimResult{Customer: "c", Key: "k", RequestId: "r1", Engine: "e1", Stream: "r1.1"}})
-		a.advance(time.Second)
+		a.runFor(time.Second)
 		b := newHost("b", store)
 		b.step(allShards())
 		b.sendClaim("k", "r2")
@@ -264,7 +264,7 @@
 		for i := range 2000 {
 			a.sendClaim("key"+time.Duration(i).String(), "r"+time.Duration(i).String())
 			if i%20 == 0 {
-				a.advance(100 * time.Millisecond)
+				a.runFor(100 * time.Millisecond)
 			}
 		}
 		rolled := len(store.objects)
@@ -273,9 +273,9 @@
 		fresh := newHost("b", store)
 		fresh.unix += 2 * 24 * 3600
 		fresh.step(allShards())
-		fresh.advance(time.Minute)
+		fresh.runFor(time.Minute)
 		Expect(len(store.objects)).To(BeNumerically(">=", rolled))
-		fresh.advance(15 * time.Minute)
+		fresh.runFor(15 * time.Minute)
 		Expect(len(store.objects)).To(BeNumerically("<", rolled))
 	})
 })
