--- a/control/claims/claims.go
+++ b/control/claims/claims.go
@@ -47,7 +47,7 @@
 
 	mu      sync.Mutex
 	owners  []string
-	granted claim.Granted
+	granted claim.GrantLog
 	waiting map[string]chan *peerpb.ClaimReply
 }
 
@@ -129,7 +129,7 @@
 		case ev = <-c.events.C():
 		case <-t.C:
 			c.retell()
-			ev = claim.EraBegan{Era: c.store.Era()}
+			ev = claim.EraReported{Era: c.store.Era()}
 			c.carryOut(m.Step(c.now(), time.Now().Unix(), ev))
 			ev = claim.Tick{}
 		case out := <-c.dumps:
@@ -189,7 +189,7 @@
 // may have lost them.
 func (c *Claims) retell() {
 	c.mu.Lock()
-	due := c.granted.Due(c.now(), c.store.Era())
+	due := c.granted.NextReclaims(c.now(), c.store.Era())
 	c.mu.Unlock()
 	remote := map[string][]*peerpb.Reclaim{}
 	for _, r := range due {
@@ -228,9 +228,9 @@
 			c.events.Offer(claim.Reclaimed{Claim: r})
 		}
 	case *peerpb.Envelope_Claim:
-		c.events.Offer(claim.Claimed{From: from, Claim: b.Claim})
+		c.events.Offer(claim.ClaimRequested{From: from, Claim: b.Claim})
 	case *peerpb.Envelope_ClaimResult:
-		c.events.Offer(claim.Resulted{Result: b.ClaimResult})
+		c.events.Offer(claim.ResultReported{Result: b.ClaimResult})
 	case *peerpb.Envelope_ClaimReply:
 		c.answer(b.ClaimReply)
 	}
@@ -259,10 +259,10 @@
 	}
 }
 
-func (c *Claims) owned() claim.Owned {
+func (c *Claims) owned() claim.OwnershipChanged {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return claim.OwnedBy(c.self, c.owners)
+	return claim.ShardsOwnedBy(c.self, c.owners)
 }
 
 func (c *Claims) ownerOf(customer, key string) string {
@@ -287,7 +287,7 @@
 	t := time.NewTicker(resendEvery)
 	defer t.Stop()
 	for {
-		c.toOwner(req.Customer, req.Key, claim.Claimed{From: c.self, Claim: req}, &peerpb.Envelope{Body: &peerpb.Envelope_Claim{Claim: req}})
+		c.toOwner(req.Customer, req.Key, claim.ClaimRequested{From: c.self, Claim: req}, &peerpb.Envelope{Body: &peerpb.Envelope_Claim{Claim: req}})
 		select {
 		case r := <-ch:
 			if r.State == peerpb.ClaimState_CLAIM_GRANTED {
@@ -305,7 +305,7 @@
 
 // Record tells the ledger what became of a claimed request.
 func (c *Claims) Record(res *peerpb.ClaimResult) {
-	c.toOwner(res.Customer, res.Key, claim.Resulted{Result: res}, &peerpb.Envelope{Body: &peerpb.Envelope_ClaimResult{ClaimResult: res}})
+	c.toOwner(res.Customer, res.Key, claim.ResultReported{Result: res}, &peerpb.Envelope{Body: &peerpb.Envelope_ClaimResult{ClaimResult: res}})
 }
 
 func (c *Claims) toOwner(customer, key string, local claim.Event, remote *peerpb.Envelope) {
--- a/control/orders/orders.go
+++ b/control/orders/orders.go
@@ -126,7 +126,7 @@
 	owners := member.Owners(o.mem.View().Alive)
 	candidate := place.InTop(o.self, leaseKey, owners, o.Candidates)
 	o.mu.Lock()
-	o.lease.Want(candidate && !o.mem.Leaving())
+	o.lease.SetEligible(candidate && !o.mem.Leaving())
 	var actions []lease.Action
 	if candidate {
 		actions = o.lease.Step(o.now(), ev)
@@ -187,7 +187,7 @@
 
 // give gives one order and reports whether more may be given.
 func (o *Orders) give(ctx context.Context, s rollout.Step, addr string) bool {
-	cctx, cancel := context.WithTimeout(ctx, lease.DefaultConfig().OrderTime)
+	cctx, cancel := context.WithTimeout(ctx, lease.DefaultConfig().MaxOrderTime)
 	defer cancel()
 	if s.Order.Kind == engine.OrderLoad {
 		if err := o.weights.Reserve(cctx, s.Order.Target); err != nil {
@@ -206,7 +206,7 @@
 	o.note(s, err)
 	if errors.Is(err, engine.ErrStaleFence) {
 		o.mu.Lock()
-		o.lease.Deposed()
+		o.lease.StepDown()
 		o.mu.Unlock()
 		return false
 	}
--- a/control/quarantine/quarantine.go
+++ b/control/quarantine/quarantine.go
@@ -2,7 +2,7 @@
 // that run them, so that a request which ended servers at one instance is not run at the
 // next one that its client asks.
 //
-// poison.Share says how; while no server crashes nothing is sent.
+// poison.Disseminator says how; while no server crashes nothing is sent.
 package quarantine
 
 import (
@@ -54,7 +54,7 @@
 
 	mu    sync.Mutex
 	table *poison.Table
-	share *poison.Share
+	share *poison.Disseminator
 }
 
 // ModuleInfo implements auburnmoor.Module.
@@ -74,7 +74,7 @@
 		return err
 	}
 	q.log, q.now, q.scope, q.table = c.Log, c.Now, c.Scope, poison.NewTable()
-	q.share = poison.NewShare(rand.New(rand.NewPCG(c.Seed, 4)))
+	q.share = poison.NewDisseminator(rand.New(rand.NewPCG(c.Seed, 4)))
 	q.changed = make(chan struct{}, 1)
 	q.members.Carry(q.tellDigest)
 	q.link.Handle(q.receive)
@@ -91,20 +91,20 @@
 func (q *Quarantine) Empty() bool { return q.known.Load() == 0 }
 
 // Judge rules on a request that is about to be sent to one of so many servers.
-func (q *Quarantine) Judge(k poison.Key, servers int) (r poison.Ruling) {
+func (q *Quarantine) Judge(k poison.Key, servers int) (r poison.Assessment) {
 	if q.Off {
 		return r
 	}
-	q.on(func(t *poison.Table) { r = t.Judge(q.now(), k, servers) })
+	q.on(func(t *poison.Table) { r = t.Assess(q.now(), k, servers) })
 	return r
 }
 
 // Crashed notes that one of so many servers ended while it ran a request.
 func (q *Quarantine) Crashed(k poison.Key, c poison.Crash, server string, servers int) {
 	q.on(func(t *poison.Table) {
-		t.Note(q.now(), k, c)
-		r := t.Judge(q.now(), k, servers)
-		if r.Verdict != poison.Innocent {
+		t.AddCrash(q.now(), k, c)
+		r := t.Assess(q.now(), k, servers)
+		if r.Verdict != poison.Clean {
 			q.scope.Counter("suspect_requests_total").Inc(1)
 			q.log.Warn("request was part of several crashes of servers", zap.Stringer("identity", k), zap.Int("crashes", r.Crashes), zap.String("server", server))
 		}
@@ -113,12 +113,12 @@
 
 // Failed notes that a client attempt ended without a server's answer.
 func (q *Quarantine) Failed(k poison.Key) {
-	q.on(func(t *poison.Table) { t.Failed(k) })
+	q.on(func(t *poison.Table) { t.MarkFailed(k) })
 }
 
 // Answered notes that a server answered a request: it is not the cause of crashes.
 func (q *Quarantine) Answered(k poison.Key) {
-	q.on(func(t *poison.Table) { t.Answered(q.now(), k) })
+	q.on(func(t *poison.Table) { t.MarkAnswered(q.now(), k) })
 }
 
 // on changes or reads the table.
@@ -160,7 +160,7 @@
 	peers := q.members.Neighbours()
 	q.mu.Lock()
 	changes := q.table.TakeChanged()
-	next := q.share.Next(len(peers))
+	next := q.share.PickPeers(len(peers))
 	q.mu.Unlock()
 	for _, i := range next {
 		q.send(peers[i], changes)
@@ -197,7 +197,7 @@
 	}
 	var all poison.Changes
 	q.on(func(t *poison.Table) {
-		if now := q.now(); q.share.Repair(now, t.Digest(now), digest) {
+		if now := q.now(); q.share.ShouldRepair(now, t.Digest(now), digest) {
 			all.Records = t.All()
 		}
 	})
@@ -213,7 +213,7 @@
 			}
 		}
 		for _, e := range in.Ends {
-			t.MergeEnd(now, poison.End{Server: e.Server, At: now - peerpb.Micros(e.AgoUs)})
+			t.MergeExit(now, poison.ServerExit{Server: e.Server, At: now - peerpb.Micros(e.AgoUs)})
 		}
 	})
 }
@@ -238,9 +238,9 @@
 	d := Dump{}
 	q.on(func(t *poison.Table) {
 		now := q.now()
-		d.ServerEnds = t.Ends()
+		d.ServerEnds = t.ExitCount()
 		for _, r := range t.All() {
-			ruling := t.Judge(now, r.Key, 0)
+			ruling := t.Assess(now, r.Key, 0)
 			d.Requests = append(d.Requests, DumpRequest{
 				Identity: r.Key.String(), Crashes: len(r.Crashes), Successive: ruling.Crashes, Refused: ruling.Verdict == poison.Poisonous,
 				RetryAfterMS: ruling.RetryAfter.Milliseconds(), ChangedMS: (now - r.Changed).Milliseconds(),
--- a/control/quarantine/wire.go
+++ b/control/quarantine/wire.go
@@ -10,7 +10,7 @@
 // encode tells times as ages, because instances have no common clock.
 func encode(now time.Duration, changes poison.Changes) *peerpb.SuspectRequests {
 	out := &peerpb.SuspectRequests{}
-	for _, e := range changes.Ends {
+	for _, e := range changes.Exits {
 		out.Ends = append(out.Ends, &peerpb.ServerEnd{Server: e.Server, AgoUs: (now - e.At).Microseconds()})
 	}
 	for _, r := range changes.Records {
--- a/decide/attempt/attempt.go
+++ b/decide/attempt/attempt.go
@@ -68,7 +68,7 @@
 func New(r *route.Route) *State { return &State{route: r} }
 
 // MarkForwarded records that a part of the answer was forwarded to the client.
-func (s *State) Forwarded() { s.forwarded = true }
+func (s *State) MarkForwarded() { s.forwarded = true }
 
 // MayHaveRun reports whether a server may have run the request.
 func (s *State) MayHaveRun() bool { return s.mayHaveRun }
@@ -77,7 +77,7 @@
 func (s *State) Sent() int { return s.sent }
 
 // IsLast reports whether the current attempt is the last one allowed.
-func (s *State) Last() bool { return s.sent+1 >= s.route.MaxAttempts }
+func (s *State) IsLast() bool { return s.sent+1 >= s.route.MaxAttempts }
 
 // Next returns what follows an attempt with the given outcome. It calls budget only if a
 // retry is possible otherwise.
--- a/decide/attempt/attempt_test.go
+++ b/decide/attempt/attempt_test.go
@@ -60,7 +60,7 @@
 
 	It("aborts a stream that has begun and cannot be resumed", func() {
 		s := attempt.New(stream)
-		s.Forwarded()
+		s.MarkForwarded()
 		Expect(s.Next(attempt.Broken, allow)).To(Equal(attempt.Abort))
 	})
 
@@ -68,7 +68,7 @@
 	// that was to resume it answered 500, and that answer was appended.
 	It("does not pass on a server error after the beginning of a stream", func() {
 		s := attempt.New(resumable)
-		s.Forwarded()
+		s.MarkForwarded()
 		Expect(s.Next(attempt.Broken, allow)).To(Equal(attempt.Retry))
 		Expect(s.Next(attempt.ServerError, allow)).To(Equal(attempt.Abort))
 	})
--- a/decide/attempt/silence.go
+++ b/decide/attempt/silence.go
@@ -15,13 +15,13 @@
 
 // ExtendInterval is how long an attempt at overloaded servers continues before it is
 // checked again.
-const ExtendBy = 500 * time.Millisecond
+const ExtendInterval = 500 * time.Millisecond
 
 // ShouldWait reports whether an attempt continues after no data arrived within its time.
 // silent is the time since the last data, overloaded whether the servers are known to be
 // overloaded. A retry repeats the whole prefill, so a retry of each late attempt (107
 // prompts in one day of bursts) prolongs an overload beyond the burst that caused it.
-func WaitOn(silent time.Duration, overloaded bool, first, gap time.Duration) bool {
+func ShouldWait(silent time.Duration, overloaded bool, first, gap time.Duration) bool {
 	clientTimeout := max(minClientTimeout, firstEventFactor*first, gapFactor*gap)
 	return overloaded && silent < time.Duration(clientTimeoutShare*float64(clientTimeout))
 }
--- a/decide/balance/pool.go
+++ b/decide/balance/pool.go
@@ -95,7 +95,7 @@
 	switch v {
 	case Succeeded:
 		p.health.Success(now, name)
-		p.budget.Success()
+		p.budget.AddSuccess()
 	case Failed:
 		p.health.Failure(now, name)
 	case GivenUp:
--- a/decide/claim/claim.go
+++ b/decide/claim/claim.go
@@ -87,8 +87,8 @@
 }
 
 // ShardsOwnedBy returns the ledgers that self owns among the members.
-func OwnedBy(self string, members []string) Owned {
-	var o Owned
+func ShardsOwnedBy(self string, members []string) OwnershipChanged {
+	var o OwnershipChanged
 	for i := range o.Shards {
 		o.Shards[i] = place.Owner(ShardName(i), members) == self
 	}
@@ -99,17 +99,17 @@
 type Event interface{ event() }
 
 // ClaimRequested asks for a claim on behalf of an instance.
-type Claimed struct {
+type ClaimRequested struct {
 	From  string
 	Claim *peerpb.Claim
 }
 
 // ResultReported tells where a claimed request runs, what its answer is or that it did not
 // run.
-type Resulted struct{ Result *peerpb.ClaimResult }
+type ResultReported struct{ Result *peerpb.ClaimResult }
 
 // OwnershipChanged replaces the set of shards that this instance owns.
-type Owned struct{ Shards [Shards]bool }
+type OwnershipChanged struct{ Shards [Shards]bool }
 
 // Listed answers a List. Objects is complete if Err is nil.
 type Listed struct {
@@ -128,9 +128,9 @@
 	Err     error
 }
 
-// EraBegan reports the store's era. An era later than the known one means that the store
+// EraReported reports the store's era. An era later than the known one means that the store
 // was restored from an older copy.
-type EraBegan struct{ Era uint64 }
+type EraReported struct{ Era uint64 }
 
 // Reclaimed repeats a claim that was granted to the sending instance before the store was
 // restored and that the store may have lost. That instance may have run the request.
@@ -139,14 +139,14 @@
 // Tick triggers timeouts, retries and expiry.
 type Tick struct{}
 
-func (EraBegan) event()  {}
-func (Reclaimed) event() {}
-func (Claimed) event()   {}
-func (Resulted) event()  {}
-func (Owned) event()     {}
-func (Listed) event()    {}
-func (Written) event()   {}
-func (Tick) event()      {}
+func (EraReported) event()      {}
+func (Reclaimed) event()        {}
+func (ClaimRequested) event()   {}
+func (ResultReported) event()   {}
+func (OwnershipChanged) event() {}
+func (Listed) event()           {}
+func (Written) event()          {}
+func (Tick) event()             {}
 
 // Action is an output of a Machine.
 type Action interface{ action() }
@@ -210,15 +210,15 @@
 func (m *Machine) Step(now time.Duration, unix int64, ev Event) []Action {
 	m.out, m.unix = m.out[:0], unix
 	switch ev := ev.(type) {
-	case EraBegan:
+	case EraReported:
 		m.beginEra(now, ev.Era)
 	case Reclaimed:
 		m.shards[KeyOf(ev.Claim.Customer, ev.Claim.Key).Shard()].handleReclaim(now, ev.Claim)
-	case Claimed:
+	case ClaimRequested:
 		m.shards[KeyOf(ev.Claim.Customer, ev.Claim.Key).Shard()].handleClaim(now, ev)
-	case Resulted:
+	case ResultReported:
 		m.shards[KeyOf(ev.Result.Customer, ev.Result.Key).Shard()].handleResult(now, ev.Result)
-	case Owned:
+	case OwnershipChanged:
 		for i, s := range m.shards {
 			s.setOwned(now, ev.Shards[i])
 		}
--- a/decide/claim/claim_test.go
+++ b/decide/claim/claim_test.go
@@ -118,8 +118,8 @@
 	}
 }
 
-func allShards() claim.Owned {
-	var o claim.Owned
+func allShards() claim.OwnershipChanged {
+	var o claim.OwnershipChanged
 	for i := range o.Shards {
 		o.Shards[i] = true
 	}
@@ -129,7 +129,7 @@
 func (h *host) sendClaim(key, request string) { h.sendClaimWithBody(key, request, 7) }
 
 func (h *host) sendClaimWithBody(key, request string, body uint64) {
-	h.step(claim.Claimed{From: "entry", Claim: &peerpb.Claim{Customer: "c", Key: key, RequestId: request, BodyHash: body}})
+	h.step(claim.ClaimRequested{From: "entry", Claim: &peerpb.Claim{Customer: "c", Key: key, RequestId: request, BodyHash: body}})
 }
 
 func (h *host) state(request string) peerpb.ClaimState {
@@ -162,7 +162,7 @@
 		a.sendClaim("k", "r2")
 		Expect(a.state("r1")).To(Equal(granted))
 		Expect(a.state("r2")).To(Equal(running))
-		a.step(claim.Resulted{Result: &peerpb.ClaimResult{Customer: "c", Key: "k", RequestId: "r1", Status: 201, Answer: []byte("label 1")}})
+		a.step(claim.ResultReported{Result: &peerpb.ClaimResult{Customer: "c", Key: "k", RequestId: "r1", Status: 201, Answer: []byte("label 1")}})
 		a.sendClaim("k", "r3")
 		Expect(a.state("r3")).To(Equal(done))
 		Expect(string(a.replies["r3"].Answer)).To(Equal("label 1"))
@@ -239,7 +239,7 @@
 
 	It("releases a key whose request did not run", func() {
 		a.sendClaim("k", "r1")
-		a.step(claim.Resulted{Result: &peerpb.ClaimResult{Customer: "c", Key: "k", RequestId: "r1", NotRun: true}})
+		a.step(claim.ResultReported{Result: &peerpb.ClaimResult{Customer: "c", Key: "k", RequestId: "r1", NotRun: true}})
 		a.sendClaim("k", "r2")
 		a.runFor(time.Second)
 		Expect(a.state("r2")).To(Equal(granted))
@@ -247,7 +247,7 @@
 
 	It("reports where a model request runs, also after a change of owner", func() {
 		a.sendClaim("k", "r1")
-		a.step(claim.Resulted{Result: &peerpb.ClaimResult{Customer: "c", Key: "k", RequestId: "r1", Engine: "e1", Stream: "r1.1"}})
+		a.step(claim.ResultReported{Result: &peerpb.ClaimResult{Customer: "c", Key: "k", RequestId: "r1", Engine: "e1", Stream: "r1.1"}})
 		a.runFor(time.Second)
 		b := newHost("b", store)
 		b.step(allShards())
--- a/decide/claim/reclaim.go
+++ b/decide/claim/reclaim.go
@@ -21,7 +21,7 @@
 
 // GrantLog remembers the recent claims that were granted to one instance, so that they can
 // be repeated to the ledgers' owners when the store may have lost them.
-type Granted struct {
+type GrantLog struct {
 	claims      []grantedClaim
 	era         uint64
 	resendUntil time.Duration
@@ -34,7 +34,7 @@
 }
 
 // Add records a granted claim.
-func (g *Granted) Add(now time.Duration, c *peerpb.Claim) {
+func (g *GrantLog) Add(now time.Duration, c *peerpb.Claim) {
 	for len(g.claims) > 0 && (now-g.claims[0].at > maxCopyAge || len(g.claims) >= maxGrantedClaims) {
 		g.claims = g.claims[1:]
 	}
@@ -44,7 +44,7 @@
 
 // NextReclaims returns the claims to repeat to the owners of their ledgers now, given the
 // newest known era of the store.
-func (g *Granted) Due(now time.Duration, era uint64) []*peerpb.Reclaim {
+func (g *GrantLog) NextReclaims(now time.Duration, era uint64) []*peerpb.Reclaim {
 	if era > g.era {
 		if g.era > 0 {
 			g.resendUntil, g.resendAt = now+reclaimPeriod, now
--- a/decide/claim/shard.go
+++ b/decide/claim/shard.go
@@ -124,7 +124,7 @@
 	deposedDelay = 500 * time.Millisecond
 )
 
-func (s *shard) handleClaim(now time.Duration, ev Claimed) {
+func (s *shard) handleClaim(now time.Duration, ev ClaimRequested) {
 	if !s.owned {
 		s.reply(ev.From, ev.Claim.RequestId, &peerpb.ClaimReply{State: peerpb.ClaimState_CLAIM_UNAVAILABLE, RetryAfterUs: retryDelay.Microseconds()})
 		return
--- a/decide/dispatch/router.go
+++ b/decide/dispatch/router.go
@@ -276,7 +276,7 @@
 
 func (n *Node) succeed(now time.Duration, p *part) {
 	n.counts.Answered++
-	n.retryBudget.Success()
+	n.retryBudget.AddSuccess()
 	p.req.record.setVerdict("complete")
 	p.state = partEnded
 	n.reportProgress(p, peerpb.Stage_STAGE_DONE)
--- a/decide/lease/lease.go
+++ b/decide/lease/lease.go
@@ -31,12 +31,12 @@
 	// StopMargin is how long before the end of the TTL the holder stops sending orders.
 	StopMargin time.Duration
 	// MaxOrderTime is the longest time that an order can be in flight.
-	OrderTime time.Duration
+	MaxOrderTime time.Duration
 }
 
 // DefaultConfig returns the default times.
 func DefaultConfig() Config {
-	return Config{TTL: 9 * time.Second, RenewInterval: 2 * time.Second, StopMargin: 3 * time.Second, OrderTime: 2 * time.Second}
+	return Config{TTL: 9 * time.Second, RenewInterval: 2 * time.Second, StopMargin: 3 * time.Second, MaxOrderTime: 2 * time.Second}
 }
 
 // Value is the content of the lease object. Fence is the fencing token.
@@ -124,7 +124,7 @@
 func New(self string, cfg Config) *Lease { return &Lease{self: self, cfg: cfg} }
 
 // SetEligible sets whether this candidate should try to hold the lease.
-func (l *Lease) Want(eligible bool) { l.eligible = eligible }
+func (l *Lease) SetEligible(eligible bool) { l.eligible = eligible }
 
 // MayOrder reports whether an order may be sent now. It must be called right before each
 // order: after a pause of the process it is false, even if it was true just before the
@@ -137,7 +137,7 @@
 func (l *Lease) Fence() uint64 { return l.fence }
 
 // StepDown gives up the lease after an engine rejected its fencing token.
-func (l *Lease) Deposed() { l.holding = false }
+func (l *Lease) StepDown() { l.holding = false }
 
 // Holder returns the last observed holder.
 func (l *Lease) Holder() string { return l.value.Holder }
@@ -257,7 +257,7 @@
 	if l.holding || l.value.Holder == "" {
 		return true
 	}
-	return now-l.observedAt >= l.cfg.TTL+l.cfg.OrderTime
+	return now-l.observedAt >= l.cfg.TTL+l.cfg.MaxOrderTime
 }
 
 func (l *Lease) newPut() Put {
--- a/decide/lease/lease_test.go
+++ b/decide/lease/lease_test.go
@@ -67,8 +67,8 @@
 	BeforeEach(func() {
 		store = &fakeStore{}
 		a, b = lease.New("a", lease.DefaultConfig()), lease.New("b", lease.DefaultConfig())
-		a.Want(true)
-		b.Want(true)
+		a.SetEligible(true)
+		b.SetEligible(true)
 	})
 
 	// Guards against orders from nobody or from two instances after the store came back
@@ -142,9 +142,9 @@
 	It("makes a successor wait for the TTL and the longest order", func() {
 		advance(a, store, 0, 5*time.Second)
 		cfg := lease.DefaultConfig()
-		advance(b, store, 5*time.Second, cfg.TTL+cfg.OrderTime-200*time.Millisecond)
+		advance(b, store, 5*time.Second, cfg.TTL+cfg.MaxOrderTime-200*time.Millisecond)
 		Expect(b.Fence()).To(Equal(uint64(1)), "b took over too early")
-		advance(b, store, 5*time.Second+cfg.TTL+cfg.OrderTime, 5*time.Second)
+		advance(b, store, 5*time.Second+cfg.TTL+cfg.MaxOrderTime, 5*time.Second)
 		Expect(b.Fence()).To(Equal(uint64(2)))
 	})
 
--- a/decide/poison/bench_test.go
+++ b/decide/poison/bench_test.go
@@ -9,15 +9,15 @@
 
 // BenchmarkAssess measures the lookup of one request while others are suspects. While there
 // are no suspects, requests are neither hashed nor looked up.
-func BenchmarkJudge(b *testing.B) {
+func BenchmarkAssess(b *testing.B) {
 	t := poison.NewTable()
 	for n := range 100 {
 		at := time.Duration(n) * time.Millisecond
-		t.Note(at, poison.Identity{Body: []byte{byte(n)}}.Key(), crash(uint64(n), at))
+		t.AddCrash(at, poison.Identity{Body: []byte{byte(n)}}.Key(), crash(uint64(n), at))
 	}
 	id := poison.Identity{Customer: "school", Method: "POST", Host: "h", Target: "/a/1", Body: make([]byte, 500)}
 	b.ReportAllocs()
 	for b.Loop() {
-		t.Judge(time.Second, id.Key(), 20)
+		t.Assess(time.Second, id.Key(), 20)
 	}
 }
--- a/decide/poison/crash.go
+++ b/decide/poison/crash.go
@@ -31,10 +31,10 @@
 // ServerHash returns the hash that identifies a server in a crash.
 func ServerHash(id string) uint64 { return xxhash.Sum64String(id) }
 
-func (c Crash) exit() End { return End{Server: c.Server, At: c.Ended} }
+func (c Crash) exit() ServerExit { return ServerExit{Server: c.Server, At: c.Ended} }
 
 // containsExit reports whether one of the crashes is the given exit.
-func containsExit(crashes []Crash, e End) bool {
+func containsExit(crashes []Crash, e ServerExit) bool {
 	return slices.ContainsFunc(crashes, func(c Crash) bool { return c.exit().matches(e) })
 }
 
--- a/decide/poison/share.go
+++ b/decide/poison/disseminator.go
@@ -20,21 +20,21 @@
 // broadcast). Gossip carries a digest, and an instance whose state differs from the
 // sender's sends it all records. This repairs lost messages and initializes new instances.
 // It is not safe for concurrent use.
-type Share struct {
+type Disseminator struct {
 	rand           *rand.Rand
 	repairedAt     time.Duration
 	repairedBefore bool
 }
 
 // NewDisseminator returns a Disseminator that draws from r.
-func NewShare(r *rand.Rand) *Share { return &Share{rand: r} }
+func NewDisseminator(r *rand.Rand) *Disseminator { return &Disseminator{rand: r} }
 
 // PickPeers returns the indices of the peers, out of n, that a change is sent to.
-func (s *Share) Next(n int) []int { return s.rand.Perm(n)[:min(fanOut, n)] }
+func (s *Disseminator) PickPeers(n int) []int { return s.rand.Perm(n)[:min(fanOut, n)] }
 
 // ShouldRepair reports whether all records are to be sent now to a peer whose gossip
 // carried the remote digest. If so, it starts a new repairInterval.
-func (s *Share) Repair(now time.Duration, local, remote uint64) bool {
+func (s *Disseminator) ShouldRepair(now time.Duration, local, remote uint64) bool {
 	if local == remote || s.repairedBefore && now-s.repairedAt < repairInterval {
 		return false
 	}
--- a/decide/poison/table.go
+++ b/decide/poison/table.go
@@ -72,7 +72,7 @@
 // The verdicts.
 const (
 	// Clean requests may be run.
-	Innocent Verdict = iota
+	Clean Verdict = iota
 	// Suspect requests may be run after a wait.
 	Suspect
 	// Poisonous requests must not be run.
@@ -80,7 +80,7 @@
 )
 
 // Assessment is a verdict with its reason.
-type Ruling struct {
+type Assessment struct {
 	Verdict Verdict
 	// Crashes is the number of successive crashes attributed to the request.
 	Crashes int
@@ -98,12 +98,12 @@
 	changed map[Key]bool
 	// exits are the recent exits of servers, whatever they ran; newExits are those added
 	// since TakeChanged.
-	exits    []End
-	newExits []End
+	exits    []ServerExit
+	newExits []ServerExit
 }
 
 // ServerExit is the exit of a server.
-type End struct {
+type ServerExit struct {
 	// Server is a hash of the server's ID.
 	Server uint64
 	At     time.Duration
@@ -112,11 +112,11 @@
 // Changes are the updates to send to other instances.
 type Changes struct {
 	Records []Record
-	Ends    []End
+	Exits   []ServerExit
 }
 
 // Empty reports whether there is nothing to send.
-func (c Changes) Empty() bool { return len(c.Records) == 0 && len(c.Ends) == 0 }
+func (c Changes) Empty() bool { return len(c.Records) == 0 && len(c.Exits) == 0 }
 
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{records: map[Key]*record{}, changed: map[Key]bool{}} }
@@ -125,11 +125,11 @@
 func (t *Table) Len() int { return len(t.records) }
 
 // Exits returns the number of recent exits of servers.
-func (t *Table) Ends() int { return len(t.exits) }
+func (t *Table) ExitCount() int { return len(t.exits) }
 
 // AddCrash records a crash that this instance detected.
-func (t *Table) Note(now time.Duration, k Key, c Crash) {
-	t.MergeEnd(now, c.exit())
+func (t *Table) AddCrash(now time.Duration, k Key, c Crash) {
+	t.MergeExit(now, c.exit())
 	r := t.records[k]
 	if r == nil {
 		r = &record{Record: Record{Key: k}, localOnly: true}
@@ -147,7 +147,7 @@
 
 // MarkFailed records that a request ended without an answer. The client's next attempt may
 // arrive at another instance, so the record is shared.
-func (t *Table) Failed(k Key) {
+func (t *Table) MarkFailed(k Key) {
 	if r := t.records[k]; r != nil && r.localOnly {
 		r.localOnly = false
 		t.markChanged(r)
@@ -155,7 +155,7 @@
 }
 
 // MarkAnswered records that a server answered a request.
-func (t *Table) Answered(now time.Duration, k Key) {
+func (t *Table) MarkAnswered(now time.Duration, k Key) {
 	r := t.records[k]
 	switch {
 	case r == nil:
@@ -207,7 +207,7 @@
 }
 
 // MergeExit adds an exit of a server, unless it is old or known already.
-func (t *Table) MergeEnd(now time.Duration, e End) {
+func (t *Table) MergeExit(now time.Duration, e ServerExit) {
 	if now-e.At >= exitWindow || slices.ContainsFunc(t.exits, e.matches) {
 		return
 	}
@@ -218,7 +218,9 @@
 	t.newExits = append(t.newExits, e)
 }
 
-func (e End) matches(o End) bool { return e.Server == o.Server && (e.At-o.At).Abs() < sameExit }
+func (e ServerExit) matches(o ServerExit) bool {
+	return e.Server == o.Server && (e.At-o.At).Abs() < sameExit
+}
 
 // TakeChanged returns the changes since the last call that other instances must receive.
 func (t *Table) TakeChanged() (out Changes) {
@@ -228,7 +230,7 @@
 		}
 	}
 	clear(t.changed)
-	out.Ends, t.newExits = t.newExits, nil
+	out.Exits, t.newExits = t.newExits, nil
 	return out
 }
 
@@ -270,28 +272,28 @@
 }
 
 // Assess assesses a request that is about to be sent to one of the given number of servers.
-func (t *Table) Judge(now time.Duration, k Key, servers int) Ruling {
+func (t *Table) Assess(now time.Duration, k Key, servers int) Assessment {
 	r := t.records[k]
 	if r == nil {
-		return Ruling{}
+		return Assessment{}
 	}
 	crashes, rival := t.unexplainedCrashes(r)
 	crashes = t.withoutCoincident(crashes)
 	n := countSuccessive(crashes)
 	if n < suspectThreshold {
-		return Ruling{Crashes: n}
+		return Assessment{Crashes: n}
 	}
 	last := crashes[len(crashes)-1].Ended
 	if propagated := last + propagationTime; now < propagated {
-		return Ruling{Verdict: Suspect, Crashes: n, Wait: propagated - now}
+		return Assessment{Verdict: Suspect, Crashes: n, Wait: propagated - now}
 	}
 	if n < t.requiredCrashes(crashes, servers) || (rival && n < maxThreshold) {
-		return Ruling{Verdict: Suspect, Crashes: n}
+		return Assessment{Verdict: Suspect, Crashes: n}
 	}
 	if until := last + quarantine(n); now < until {
-		return Ruling{Verdict: Poisonous, Crashes: n, RetryAfter: until - now}
+		return Assessment{Verdict: Poisonous, Crashes: n, RetryAfter: until - now}
 	}
-	return Ruling{Verdict: Suspect, Crashes: n}
+	return Assessment{Verdict: Suspect, Crashes: n}
 }
 
 // unexplainedCrashes returns the crashes of a request that no other request explains, and
@@ -373,7 +375,7 @@
 
 // Expire drops old exits and records.
 func (t *Table) Expire(now time.Duration) {
-	t.exits = slices.DeleteFunc(t.exits, func(e End) bool { return now-e.At >= exitWindow })
+	t.exits = slices.DeleteFunc(t.exits, func(e ServerExit) bool { return now-e.At >= exitWindow })
 	for k, r := range t.records {
 		if now >= expiry(r.Record) {
 			t.drop(k)
--- a/decide/poison/table_test.go
+++ b/decide/poison/table_test.go
@@ -35,7 +35,7 @@
 	addCrashes := func(k poison.Key, servers ...uint64) (last time.Duration) {
 		for _, s := range servers {
 			last = time.Duration(s) * time.Second
-			t.Note(last, k, crash(s, last))
+			t.AddCrash(last, k, crash(s, last))
 		}
 		return last
 	}
@@ -44,79 +44,79 @@
 	// attempt with it reached two engines, at any instance, and no instance kept a record.
 	It("are not run again after three crashes", func() {
 		last := addCrashes(key(1), 1, 2)
-		Expect(t.Judge(propagated(last), key(1), fleetSize).Verdict).To(Equal(poison.Suspect))
+		Expect(t.Assess(propagated(last), key(1), fleetSize).Verdict).To(Equal(poison.Suspect))
 		last = addCrashes(key(1), 3)
-		r := t.Judge(propagated(last), key(1), fleetSize)
+		r := t.Assess(propagated(last), key(1), fleetSize)
 		Expect(r.Verdict).To(Equal(poison.Poisonous))
 		Expect(r.RetryAfter).To(BeNumerically("~", 2*time.Minute, time.Second))
-		Expect(t.Judge(propagated(last), key(2), fleetSize).Verdict).To(Equal(poison.Innocent))
+		Expect(t.Assess(propagated(last), key(2), fleetSize).Verdict).To(Equal(poison.Clean))
 	})
 
 	// Guards against refusing a harmless request that many callers send: a rack failed, and
 	// the request was running on each of its servers.
 	It("are not suspects if their servers crash at the same moment", func() {
 		for s := range uint64(8) {
-			t.Note(time.Second, key(1), crash(s, time.Second+time.Duration(s)*ms))
+			t.AddCrash(time.Second, key(1), crash(s, time.Second+time.Duration(s)*ms))
 		}
-		Expect(t.Judge(propagated(time.Second), key(1), fleetSize).Verdict).To(Equal(poison.Innocent))
+		Expect(t.Assess(propagated(time.Second), key(1), fleetSize).Verdict).To(Equal(poison.Clean))
 	})
 
 	It("are cleared by an answer, also at instances that receive the report later", func() {
 		last := addCrashes(key(1), 1, 2, 3)
-		t.Failed(key(1))
+		t.MarkFailed(key(1))
 		other := poison.NewTable()
 		for _, r := range t.All() {
 			other.Merge(last, r)
 		}
 		old := t.All()
-		t.Answered(last, key(1))
+		t.MarkAnswered(last, key(1))
 		for _, r := range append(t.All(), old...) {
 			other.Merge(last, r)
 		}
-		Expect(t.Judge(propagated(last), key(1), fleetSize).Verdict).To(Equal(poison.Innocent))
-		Expect(other.Judge(propagated(last), key(1), fleetSize).Verdict).To(Equal(poison.Innocent))
+		Expect(t.Assess(propagated(last), key(1), fleetSize).Verdict).To(Equal(poison.Clean))
+		Expect(other.Assess(propagated(last), key(1), fleetSize).Verdict).To(Equal(poison.Clean))
 	})
 
 	// Guards against refusing the requests that ran next to the cause of three crashes.
 	It("are not suspects because of crashes that another request explains", func() {
 		addCrashes(key(1), 1, 2, 3)
 		last := addCrashes(key(9), 1, 2, 3, 4)
-		Expect(t.Judge(propagated(last), key(1), fleetSize).Verdict).To(Equal(poison.Innocent))
-		Expect(t.Judge(propagated(last), key(9), fleetSize).Verdict).To(Equal(poison.Poisonous))
+		Expect(t.Assess(propagated(last), key(1), fleetSize).Verdict).To(Equal(poison.Clean))
+		Expect(t.Assess(propagated(last), key(9), fleetSize).Verdict).To(Equal(poison.Poisonous))
 	})
 
 	It("are run again while either of two may be the cause, up to a maximum of crashes", func() {
 		addCrashes(key(1), 1, 2, 3)
 		last := addCrashes(key(9), 1, 2, 3)
-		Expect(t.Judge(propagated(last), key(1), fleetSize).Verdict).To(Equal(poison.Suspect))
-		Expect(t.Judge(propagated(last), key(9), fleetSize).Verdict).To(Equal(poison.Suspect))
+		Expect(t.Assess(propagated(last), key(1), fleetSize).Verdict).To(Equal(poison.Suspect))
+		Expect(t.Assess(propagated(last), key(9), fleetSize).Verdict).To(Equal(poison.Suspect))
 		addCrashes(key(1), 4, 5, 6)
 		last = addCrashes(key(9), 4, 5, 6)
-		Expect(t.Judge(propagated(last), key(9), fleetSize).Verdict).To(Equal(poison.Poisonous))
+		Expect(t.Assess(propagated(last), key(9), fleetSize).Verdict).To(Equal(poison.Poisonous))
 	})
 
 	// Both requests crash servers, and each has one crash without the other.
 	It("are both refused when each has a crash without the other", func() {
 		addCrashes(key(1), 1, 2, 4)
 		last := addCrashes(key(9), 1, 2, 5)
-		Expect(t.Judge(propagated(last), key(1), fleetSize).Verdict).To(Equal(poison.Poisonous))
-		Expect(t.Judge(propagated(last), key(9), fleetSize).Verdict).To(Equal(poison.Poisonous))
+		Expect(t.Assess(propagated(last), key(1), fleetSize).Verdict).To(Equal(poison.Poisonous))
+		Expect(t.Assess(propagated(last), key(9), fleetSize).Verdict).To(Equal(poison.Poisonous))
 	})
 
 	It("wait until reports of other instances have arrived", func() {
 		last := addCrashes(key(1), 1, 2, 3)
-		r := t.Judge(last, key(1), fleetSize)
+		r := t.Assess(last, key(1), fleetSize)
 		Expect(r.Verdict).To(Equal(poison.Suspect))
 		Expect(r.Wait).To(And(BeNumerically(">", 0), BeNumerically("<=", 100*ms)))
-		Expect(t.Judge(last+r.Wait, key(1), fleetSize).Verdict).To(Equal(poison.Poisonous))
+		Expect(t.Assess(last+r.Wait, key(1), fleetSize).Verdict).To(Equal(poison.Poisonous))
 	})
 
 	It("may be run again after their quarantine, which grows with each crash", func() {
 		last := addCrashes(key(1), 1, 2, 3)
 		again := last + 2*time.Minute
-		Expect(t.Judge(again, key(1), fleetSize).Verdict).To(Equal(poison.Suspect))
-		t.Note(again, key(1), crash(7, again))
-		r := t.Judge(propagated(again), key(1), fleetSize)
+		Expect(t.Assess(again, key(1), fleetSize).Verdict).To(Equal(poison.Suspect))
+		t.AddCrash(again, key(1), crash(7, again))
+		r := t.Assess(propagated(again), key(1), fleetSize)
 		Expect(r.Verdict).To(Equal(poison.Poisonous))
 		Expect(r.RetryAfter).To(BeNumerically(">", 19*time.Minute))
 	})
@@ -134,10 +134,10 @@
 	It("are reported to others only after a failure or a second crash", func() {
 		addCrashes(key(1), 1)
 		Expect(t.TakeChanged().Records).To(BeEmpty())
-		t.Answered(2*time.Second, key(1))
+		t.MarkAnswered(2*time.Second, key(1))
 		Expect(t.Len()).To(BeZero())
 		addCrashes(key(2), 1)
-		t.Failed(key(2))
+		t.MarkFailed(key(2))
 		Expect(t.TakeChanged().Records).To(HaveLen(1))
 		Expect(t.TakeChanged().Records).To(BeEmpty())
 		addCrashes(key(3), 1, 2)
@@ -151,10 +151,10 @@
 		for n := range 2000 {
 			at := last + time.Second + time.Duration(n)*ms
 			k := poison.Identity{Body: fmt.Append(nil, n)}.Key()
-			t.Note(at, k, crash(uint64(n), at))
+			t.AddCrash(at, k, crash(uint64(n), at))
 		}
 		Expect(t.Len()).To(BeNumerically("<=", 512))
-		Expect(t.Judge(last+4*time.Second, key(1), fleetSize).Verdict).To(Equal(poison.Poisonous))
+		Expect(t.Assess(last+4*time.Second, key(1), fleetSize).Verdict).To(Equal(poison.Poisonous))
 	})
 
 	// Guards against refusing requests that met three exits of servers by chance: servers
@@ -162,27 +162,27 @@
 	It("need more crashes the more servers exit without running them", func() {
 		const smallFleet = 20
 		for n := range uint64(30) {
-			t.MergeEnd(0, poison.End{Server: 100 + n, At: time.Duration(n) * 300 * ms})
+			t.MergeExit(0, poison.ServerExit{Server: 100 + n, At: time.Duration(n) * 300 * ms})
 		}
 		last := addCrashes(key(1), 6, 7, 8)
-		Expect(t.Judge(propagated(last), key(1), smallFleet).Verdict).To(Equal(poison.Suspect))
-		Expect(t.Judge(propagated(last), key(1), fleetSize).Verdict).To(Equal(poison.Poisonous))
+		Expect(t.Assess(propagated(last), key(1), smallFleet).Verdict).To(Equal(poison.Suspect))
+		Expect(t.Assess(propagated(last), key(1), fleetSize).Verdict).To(Equal(poison.Poisonous))
 		last = addCrashes(key(1), 9, 10, 11)
-		Expect(t.Judge(propagated(last), key(1), smallFleet).Verdict).To(Equal(poison.Poisonous))
+		Expect(t.Assess(propagated(last), key(1), smallFleet).Verdict).To(Equal(poison.Poisonous))
 		for n := range uint64(30) {
-			t.MergeEnd(last, poison.End{Server: 200 + n, At: last + time.Second})
+			t.MergeExit(last, poison.ServerExit{Server: 200 + n, At: last + time.Second})
 		}
-		Expect(t.Judge(last+2*time.Second, key(1), smallFleet).Verdict).To(Equal(poison.Poisonous), "later exits reverse the assessment")
+		Expect(t.Assess(last+2*time.Second, key(1), smallFleet).Verdict).To(Equal(poison.Poisonous), "later exits reverse the assessment")
 	})
 
 	It("are not suspects if other servers exit at the same moment", func() {
 		for s := range uint64(3) {
 			at := time.Duration(s+1) * time.Second
-			t.MergeEnd(at, poison.End{Server: 100 + s, At: at + ms})
-			t.MergeEnd(at, poison.End{Server: 200 + s, At: at - ms})
-			t.Note(at, key(1), crash(s, at))
+			t.MergeExit(at, poison.ServerExit{Server: 100 + s, At: at + ms})
+			t.MergeExit(at, poison.ServerExit{Server: 200 + s, At: at - ms})
+			t.AddCrash(at, key(1), crash(s, at))
 		}
-		Expect(t.Judge(propagated(3*time.Second), key(1), fleetSize).Verdict).To(Equal(poison.Innocent))
+		Expect(t.Assess(propagated(3*time.Second), key(1), fleetSize).Verdict).To(Equal(poison.Clean))
 	})
 
 	// Instances that receive the same reports in another order, or twice, must assess
@@ -212,7 +212,7 @@
 				rt.Fatal("digests differ")
 			}
 			for k := range byte(3) {
-				if a.Judge(now, key(k+1), fleetSize) != b.Judge(now, key(k+1), fleetSize) {
+				if a.Assess(now, key(k+1), fleetSize) != b.Assess(now, key(k+1), fleetSize) {
 					rt.Fatal("assessments differ")
 				}
 			}
--- a/decide/retry/budget.go
+++ b/decide/retry/budget.go
@@ -25,7 +25,7 @@
 func (b *Budget) SetShare(share float64) { b.share = share }
 
 // AddSuccess credits the budget for one success.
-func (b *Budget) Success() { b.tokens = min(maxTokens, b.tokens+b.share) }
+func (b *Budget) AddSuccess() { b.tokens = min(maxTokens, b.tokens+b.share) }
 
 // Take takes one retry from the budget if it allows one.
 func (b *Budget) Take() bool {
--- a/decide/retry/budget_test.go
+++ b/decide/retry/budget_test.go
@@ -21,7 +21,7 @@
 		retries := 0
 		for i := range 1000 {
 			if i%2 == 0 {
-				b.Success()
+				b.AddSuccess()
 			} else if b.Take() {
 				retries++
 			}
--- a/decide/retry/window.go
+++ b/decide/retry/window.go
@@ -41,7 +41,7 @@
 }
 
 // AddRequest counts a first attempt.
-func (w *Window) Request(now time.Duration) { w.requests[w.advance(now)]++ }
+func (w *Window) AddRequest(now time.Duration) { w.requests[w.advance(now)]++ }
 
 // Take counts a retry if the window allows it.
 func (w *Window) Take(now time.Duration) bool {
--- a/decide/retry/window_test.go
+++ b/decide/retry/window_test.go
@@ -14,7 +14,7 @@
 	It("allows a share of the requests plus a fixed number", func() {
 		w := retry.NewWindow(length, 0.2, 3)
 		for range 50 {
-			w.Request(time.Second)
+			w.AddRequest(time.Second)
 		}
 		taken := 0
 		for range 100 {
--- a/lab/suspects/suspects.go
+++ b/lab/suspects/suspects.go
@@ -100,7 +100,7 @@
 type instance struct {
 	began  time.Duration
 	table  *poison.Table
-	share  *poison.Share
+	share  *poison.Disseminator
 	queued bool
 }
 
@@ -199,7 +199,7 @@
 func (w *world) newInstance() *instance {
 	return &instance{
 		began: w.now(), table: poison.NewTable(),
-		share: poison.NewShare(rand.New(rand.NewPCG(w.o.Seed, w.rand.Uint64()))),
+		share: poison.NewDisseminator(rand.New(rand.NewPCG(w.o.Seed, w.rand.Uint64()))),
 	}
 }
 
@@ -235,7 +235,7 @@
 // over ends a client attempt.
 func (w *world) over(x *run, refused bool) {
 	if x.anyCrash {
-		x.at.table.Failed(x.req.key)
+		x.at.table.MarkFailed(x.req.key)
 		w.tell(x.at)
 	}
 	switch {
@@ -251,7 +251,7 @@
 // place sends a request to a server, once it may be.
 func (w *world) place(x *run) {
 	i := x.at
-	ruling := i.table.Judge(i.clock(w.now()), x.req.key, len(w.servers))
+	ruling := i.table.Assess(i.clock(w.now()), x.req.key, len(w.servers))
 	switch {
 	case ruling.Verdict == poison.Poisonous:
 		w.over(x, true)
@@ -323,7 +323,7 @@
 
 func (w *world) answered(x *run) {
 	w.leave(x)
-	x.at.table.Answered(x.at.clock(w.now()), x.req.key)
+	x.at.table.MarkAnswered(x.at.clock(w.now()), x.req.key)
 	w.tell(x.at)
 }
 
@@ -362,9 +362,9 @@
 // broken is the end of an attempt with its server.
 func (w *world) broken(x *run, id uint64, at time.Duration) {
 	i := x.at
-	i.table.Note(i.clock(w.now()), x.req.key, poison.Crash{Server: id, Began: i.clock(x.began), Ended: i.clock(at)})
+	i.table.AddCrash(i.clock(w.now()), x.req.key, poison.Crash{Server: id, Began: i.clock(x.began), Ended: i.clock(at)})
 	x.anyCrash = true
-	if i.table.Judge(i.clock(w.now()), x.req.key, len(w.servers)).Verdict != poison.Innocent && !x.req.poison && !x.req.suspect {
+	if i.table.Assess(i.clock(w.now()), x.req.key, len(w.servers)).Verdict != poison.Clean && !x.req.poison && !x.req.suspect {
 		x.req.suspect = true
 		w.res.Suspects++
 	}
--- a/lab/suspects/tell.go
+++ b/lab/suspects/tell.go
@@ -16,7 +16,7 @@
 		i.queued = false
 		changes := i.table.TakeChanged()
 		peers := w.others(i)
-		for _, n := range i.share.Next(len(peers)) {
+		for _, n := range i.share.PickPeers(len(peers)) {
 			w.send(i, w.instances[peers[n]], changes)
 		}
 	})
@@ -39,7 +39,7 @@
 		return
 	}
 	w.res.Messages++
-	w.res.Bytes += endBytes * len(c.Ends)
+	w.res.Bytes += endBytes * len(c.Exits)
 	for _, r := range c.Records {
 		w.res.Bytes += recordBytes + crashBytes*len(r.Crashes)
 	}
@@ -53,8 +53,8 @@
 		for _, r := range c.Records {
 			to.table.Merge(now, moved(r, by))
 		}
-		for _, e := range c.Ends {
-			to.table.MergeEnd(now, poison.End{Server: e.Server, At: e.At + by})
+		for _, e := range c.Exits {
+			to.table.MergeExit(now, poison.ServerExit{Server: e.Server, At: e.At + by})
 		}
 		w.tell(to)
 	})
@@ -83,7 +83,7 @@
 		}
 		w.after(linkDelay, func() {
 			now := to.clock(w.now())
-			if to.table.Len() > 0 && to.share.Repair(now, to.table.Digest(now), digest) {
+			if to.table.Len() > 0 && to.share.ShouldRepair(now, to.table.Digest(now), digest) {
 				w.send(to, i, poison.Changes{Records: to.table.All()})
 			}
 		})
@@ -93,7 +93,7 @@
 // awaitKnown measures when all instances would refuse a request.
 func (w *world) awaitKnown(r *request, third time.Duration) {
 	for _, i := range w.instances {
-		if v := i.table.Judge(i.clock(w.now()), r.key, len(w.servers)); v.Verdict != poison.Poisonous {
+		if v := i.table.Assess(i.clock(w.now()), r.key, len(w.servers)); v.Verdict != poison.Poisonous {
 			w.after(5*time.Millisecond, func() { w.awaitKnown(r, third) })
 			return
 		}
--- a/lab/trial/requests.go
+++ b/lab/trial/requests.go
@@ -81,9 +81,9 @@
 	owner := claim.OwnerOf(c.Customer, c.Key, owners)
 	switch {
 	case owner == in.name && res != nil:
-		in.claim(claim.Resulted{Result: res})
+		in.claim(claim.ResultReported{Result: res})
 	case owner == in.name:
-		in.claim(claim.Claimed{From: in.name, Claim: c})
+		in.claim(claim.ClaimRequested{From: in.name, Claim: c})
 	case res != nil:
 		in.send(owner, &peerpb.Envelope{Body: &peerpb.Envelope_ClaimResult{ClaimResult: res}})
 	default:
@@ -93,7 +93,7 @@
 
 // retell tells the owners of ledgers of the claims that were granted here.
 func (in *instance) retell() {
-	due := in.granted.Due(in.now(), in.era)
+	due := in.granted.NextReclaims(in.now(), in.era)
 	if in.t.o.Mutant == NoReclaim {
 		return
 	}
--- a/lab/trial/trial.go
+++ b/lab/trial/trial.go
@@ -147,7 +147,7 @@
 	looked  bool
 	// era is the store's newest era that the instance knows of.
 	era     uint64
-	granted claim.Granted
+	granted claim.GrantLog
 }
 
 func (t *Trial) newInstance(i int, incarnation uint64) *instance {
@@ -207,12 +207,12 @@
 	}
 	owners := member.Owners(in.table.Alive(in.now()))
 	if in.now() > settle {
-		in.claim(claim.OwnedBy(in.name, owners))
+		in.claim(claim.ShardsOwnedBy(in.name, owners))
 	}
-	in.claim(claim.EraBegan{Era: in.era})
+	in.claim(claim.EraReported{Era: in.era})
 	in.retell()
 	in.claim(claim.Tick{})
-	in.lease.Want(true)
+	in.lease.SetEligible(true)
 	in.leaseStep(lease.Tick{})
 	in.order()
 	in.readConfig(owners)
@@ -250,9 +250,9 @@
 	case *peerpb.Envelope_ConfigReply:
 		in.adopt(b.ConfigReply.Version, b.ConfigReply.Content)
 	case *peerpb.Envelope_Claim:
-		in.claim(claim.Claimed{From: env.From, Claim: b.Claim})
+		in.claim(claim.ClaimRequested{From: env.From, Claim: b.Claim})
 	case *peerpb.Envelope_ClaimResult:
-		in.claim(claim.Resulted{Result: b.ClaimResult})
+		in.claim(claim.ResultReported{Result: b.ClaimResult})
 	case *peerpb.Envelope_ClaimReply:
 		in.claimReply(b.ClaimReply)
 	}
--- a/serve/relay/answer.go
+++ b/serve/relay/answer.go
@@ -89,7 +89,7 @@
 
 // gapTimeout is the pause between events of a stream that ends an attempt.
 func (x *exchange) gapTimeout() time.Duration {
-	if x.state.Last() || !x.route.Repeatable() {
+	if x.state.IsLast() || !x.route.Repeatable() {
 		return x.remaining() + deadlineMargin
 	}
 	return max(minGapTimeout, gapFactor*x.route.GapTarget)
@@ -112,7 +112,7 @@
 		x.firstLatency = x.relay.now() - x.started
 		x.sink.Begin(h)
 		x.streamStarted = true
-		x.state.Forwarded()
+		x.state.MarkForwarded()
 	} else {
 		x.newestGap = x.relay.now() - x.lastEvent
 		x.observeGap(plan)
--- a/serve/relay/relay.go
+++ b/serve/relay/relay.go
@@ -347,7 +347,7 @@
 func (r *Relay) recordRequest(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.pool(service).retries.Request(r.now())
+	r.pool(service).retries.AddRequest(r.now())
 }
 
 // takeRetry spends one retry of this instance's part of the shared budget, if any.
--- a/serve/relay/timeout.go
+++ b/serve/relay/timeout.go
@@ -14,7 +14,7 @@
 // of a stream. The last attempt waits as long as the client does: ending it sooner
 // could only lose an answer.
 func (x *exchange) attemptTimeout(plan spread.Plan) time.Duration {
-	if x.state.Last() || !x.route.Repeatable() {
+	if x.state.IsLast() || !x.route.Repeatable() {
 		return x.remaining() + deadlineMargin
 	}
 	if x.route.Kind != route.Stream {
@@ -40,10 +40,10 @@
 	t = time.AfterFunc(x.attemptTimeout(plan), func() {
 		<-armed
 		silent := x.relay.now() - time.Duration(x.lastHeard.Load())
-		if attempt.WaitOn(silent, x.overloaded(plan), x.route.FirstTarget, x.route.GapTarget) {
+		if attempt.ShouldWait(silent, x.overloaded(plan), x.route.FirstTarget, x.route.GapTarget) {
 			x.relay.log.Info("attempt extended, servers are overloaded", zap.String("request", x.req.ID), zap.String("server", plan.Writer().ID),
 				zap.Duration("silent", silent), zap.Duration("recent", x.relay.meanBacklog(x.service.Name)))
-			t.Reset(attempt.ExtendBy)
+			t.Reset(attempt.ExtendInterval)
 			return
 		}
 		onSilence()
