--- a/serve/api/session.go
+++ b/serve/api/session.go
@@ -178,7 +178,7 @@
 	case s.order.Following() == next:
 		return nil
 	case next == 0:
-		s.disp.Report(dispatch.StreamFirst{ID: st.ID, Attempt: st.Attempt, Cached: ch.Cached})
+		s.disp.Report(dispatch.StreamFirstToken{ID: st.ID, Attempt: st.Attempt, Cached: ch.Cached})
 	}
 	return errors.Mark(s.sink.token(text), errCaller)
 }
@@ -230,7 +230,7 @@
 		s.err = result.New(result.CallerGone, "the caller closed the connection")
 		return true
 	default:
-		s.disp.Report(dispatch.StreamEnd{ID: r.start.ID, Attempt: r.start.Attempt, Fault: faultOf(r.err), Shown: s.sink.shown()})
+		s.disp.Report(dispatch.StreamEnd{ID: r.start.ID, Attempt: r.start.Attempt, Fault: faultOf(r.err), ResponseStarted: s.sink.shown()})
 		return false
 	}
 }
