--- a/control/loads/loads.go
+++ b/control/loads/loads.go
@@ -146,7 +146,7 @@
 	defer l.mu.Unlock()
 	for _, part := range p.Parts {
 		l.ledger.EndRead(part.Server.ID, part.Noted)
-		l.ledger.Sub(part.Server.ID, part.Load.Begun())
+		l.ledger.Sub(part.Server.ID, part.Load.PrefillPhase())
 	}
 	l.wake()
 }
@@ -156,7 +156,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, part := range p.Parts {
-		l.ledger.Sub(part.Server.ID, part.Load.Writing())
+		l.ledger.Sub(part.Server.ID, part.Load.DecodePhase())
 	}
 	l.wake()
 }
--- a/control/loads/report.go
+++ b/control/loads/report.go
@@ -17,10 +17,10 @@
 	for server, w := range work {
 		r.Servers = append(r.Servers, uint32(server))
 		r.Calls = append(r.Calls, uint32(max(0, w.Calls)))
-		r.LongCalls = append(r.LongCalls, uint32(max(0, w.LongCalls)))
+		r.LongCalls = append(r.LongCalls, uint32(max(0, w.DeepCalls)))
 		r.HeldTokens = append(r.HeldTokens, uint64(max(0, w.HeldTokens)))
 		r.Parts = append(r.Parts, uint32(max(0, w.Parts)))
-		r.Unread = append(r.Unread, ticks(w.Unread))
+		r.Unread = append(r.Unread, ticks(w.UnconfirmedPrefill))
 		r.Reads = append(r.Reads, uint32(len(w.Reads)))
 		for _, part := range w.Reads {
 			r.Read = append(r.Read, ticks(part.Time))
@@ -52,8 +52,8 @@
 	next := 0
 	for i, server := range r.Servers {
 		w := spread.Work{Load: spread.Load{
-			Calls: int64(at(r.Calls, i)), LongCalls: int64(at(r.LongCalls, i)), HeldTokens: int64(at(r.HeldTokens, i)),
-			Parts: int64(at(r.Parts, i)), Unread: time.Duration(at(r.Unread, i)) * tick,
+			Calls: int64(at(r.Calls, i)), DeepCalls: int64(at(r.LongCalls, i)), HeldTokens: int64(at(r.HeldTokens, i)),
+			Parts: int64(at(r.Parts, i)), UnconfirmedPrefill: time.Duration(at(r.Unread, i)) * tick,
 		}}
 		reads := int(at(r.Reads, i))
 		if next+reads > min(len(r.Read), len(r.Due)) {
--- a/control/loads/report_test.go
+++ b/control/loads/report_test.go
@@ -21,8 +21,8 @@
 	out := map[spread.Key]spread.Work{}
 	for range rapid.IntRange(0, 20).Draw(t, "servers") {
 		w := spread.Work{Load: spread.Load{
-			Calls: rapid.Int64Range(0, 30).Draw(t, "calls"), LongCalls: rapid.Int64Range(0, 3).Draw(t, "long"),
-			HeldTokens: rapid.Int64Range(0, 1<<40).Draw(t, "held"), Parts: rapid.Int64Range(0, 12).Draw(t, "parts"), Unread: ticks("unread"),
+			Calls: rapid.Int64Range(0, 30).Draw(t, "calls"), DeepCalls: rapid.Int64Range(0, 3).Draw(t, "long"),
+			HeldTokens: rapid.Int64Range(0, 1<<40).Draw(t, "held"), Parts: rapid.Int64Range(0, 12).Draw(t, "parts"), UnconfirmedPrefill: ticks("unread"),
 		}}
 		for range rapid.IntRange(0, 3).Draw(t, "reads") {
 			w.Reads = append(w.Reads, spread.Read{Time: ticks("read"), Due: ticks("due")})
@@ -86,7 +86,7 @@
 		}
 		var parts []spread.Part
 		for i := range 10 {
-			p := spread.Part{Server: backends.Server{ID: fmt.Sprintf("s%02d", i)}, Load: spread.Load{Parts: 1, Read: 5 * time.Millisecond, Unread: 5 * time.Millisecond}, ReadBy: 60 * time.Millisecond}
+			p := spread.Part{Server: backends.Server{ID: fmt.Sprintf("s%02d", i)}, Load: spread.Load{Parts: 1, Prefill: 5 * time.Millisecond, UnconfirmedPrefill: 5 * time.Millisecond}, ReadBy: 60 * time.Millisecond}
 			if i == 0 {
 				p.Load.Calls, p.Load.HeldTokens, p.Load.Parts = 1, 6000, 0
 			}
@@ -96,10 +96,10 @@
 		tell(2 * time.Millisecond)
 		for _, p := range parts {
 			ledger.EndRead(p.Server.ID, p.Noted)
-			ledger.Sub(p.Server.ID, p.Load.Begun())
+			ledger.Sub(p.Server.ID, p.Load.PrefillPhase())
 		}
 		tell(100 * time.Millisecond)
-		ledger.Sub(parts[0].Server.ID, parts[0].Load.Writing())
+		ledger.Sub(parts[0].Server.ID, parts[0].Load.DecodePhase())
 		tell(2 * time.Second)
 		Expect(sum).To(BeNumerically("<=", 440))
 	})
--- a/decide/spread/group.go
+++ b/decide/spread/group.go
@@ -87,8 +87,8 @@
 		return k
 	}
 	each := value(l.HeldTokens/l.Calls) * (1 - lateValue)
-	k.predictedGap = Pass(c.engine, l) + l.Read + gapMargin
-	k.tightValue, k.looseValue = float64(l.Calls-l.LongCalls)*each, float64(l.LongCalls)*each
+	k.predictedGap = Pass(c.engine, l) + l.Prefill + gapMargin
+	k.tightValue, k.looseValue = float64(l.Calls-l.DeepCalls)*each, float64(l.DeepCalls)*each
 	return k
 }
 
@@ -108,7 +108,7 @@
 // planHarm is the value that answers in progress lose by a plan.
 func (c *chooser) planHarm(p Plan) (harm float64) {
 	for _, part := range p.Parts {
-		harm += c.engineHarm(c.candidate(part.Server), part.Load.Read)
+		harm += c.engineHarm(c.candidate(part.Server), part.Load.Prefill)
 	}
 	return harm
 }
--- a/decide/spread/group_test.go
+++ b/decide/spread/group_test.go
@@ -48,7 +48,7 @@
 	It("are waited for while all answers would pause too long, up to the hold limit", func() {
 		f := decoding(21)
 		for _, s := range f.servers {
-			f.ledger.Add(s.ID, spread.Load{Read: 100 * time.Millisecond})
+			f.ledger.Add(s.ID, spread.Load{Prefill: 100 * time.Millisecond})
 		}
 		_, v := f.place(deep)
 		Expect(v).To(Equal(spread.Hold))
@@ -62,7 +62,7 @@
 // longestGap is the longest gap that a part causes in the answers of an engine.
 func longestGap(f *fleet, p spread.Part) time.Duration {
 	l := f.ledger.Of(p.Server.ID)
-	return spread.Pass(engine, l) + l.Read
+	return spread.Pass(engine, l) + l.Prefill
 }
 
 var _ = Describe("a short prompt", func() {
@@ -71,11 +71,11 @@
 	It("avoids engines whose first event would be late", func() {
 		f := newFleet(21)
 		for _, s := range f.servers[:8] {
-			f.ledger.Add(s.ID, spread.Load{Read: time.Second, Unread: time.Second})
+			f.ledger.Add(s.ID, spread.Load{Prefill: time.Second, UnconfirmedPrefill: time.Second})
 		}
 		for range 30 {
 			p := must(f.place(spread.Request{Prompt: 5000, Answer: 1600, Useful: 300 * time.Millisecond}))
-			Expect(f.ledger.Of(p.Writer().ID).Read).To(BeNumerically("<", 300*time.Millisecond))
+			Expect(f.ledger.Of(p.Writer().ID).Prefill).To(BeNumerically("<", 300*time.Millisecond))
 			f.endPrefill(p)
 		}
 	})
@@ -92,7 +92,7 @@
 		for _, name := range []string{"a", "b", "c", "d", "e", "f"} {
 			f := newFleet(21)
 			for _, s := range f.servers[12:20] {
-				f.ledger.Add(s.ID, spread.Load{Calls: 1, LongCalls: 1, HeldTokens: 1000})
+				f.ledger.Add(s.ID, spread.Load{Calls: 1, DeepCalls: 1, HeldTokens: 1000})
 			}
 			r := deep
 			r.Instance = name
--- a/decide/spread/helpers.go
+++ b/decide/spread/helpers.go
@@ -16,7 +16,7 @@
 		return nil
 	}
 	idle := c.eligibleHelpers(c.roles.prefillEngines, writer)
-	idle = slices.DeleteFunc(idle, func(s backends.Server) bool { return c.load(s.ID).Read > maxHelperBacklog || c.isWriting(s) })
+	idle = slices.DeleteFunc(idle, func(s backends.Server) bool { return c.load(s.ID).Prefill > maxHelperBacklog || c.isWriting(s) })
 	return idle[:min(want, len(idle))]
 }
 
--- a/decide/spread/hold.go
+++ b/decide/spread/hold.go
@@ -26,7 +26,7 @@
 	if !c.deep() || c.req.Waited >= c.req.Patience || c.exceedsEngine() && c.late() {
 		return 0, NoReason
 	}
-	unconfirmed := Unread(servers, c.load)
+	unconfirmed := UnconfirmedPrefill(servers, c.load)
 	if c.req.Behind {
 		return unconfirmed, ForTurn
 	}
--- a/decide/spread/hold_test.go
+++ b/decide/spread/hold_test.go
@@ -18,7 +18,7 @@
 	busy := func(fleet, engines int) *fleet {
 		f := newFleet(fleet)
 		for _, s := range f.servers[len(f.servers)-engines:] {
-			f.ledger.Add(s.ID, spread.Load{Read: time.Second, Unread: time.Second, Parts: 1})
+			f.ledger.Add(s.ID, spread.Load{Prefill: time.Second, UnconfirmedPrefill: time.Second, Parts: 1})
 		}
 		return f
 	}
--- a/decide/spread/ledger.go
+++ b/decide/spread/ledger.go
@@ -44,7 +44,7 @@
 	}
 	sum := a.load
 	for _, r := range a.prefills {
-		sum.Read += r.Time
+		sum.Prefill += r.Time
 	}
 	return sum
 }
@@ -105,9 +105,9 @@
 // the returned value ends it sooner.
 func (l *Ledger) Place(now time.Duration, p Part) Read {
 	k := KeyOf(p.Server.ID)
-	r := Read{Time: p.Load.Read, Due: now + p.ReadBy}
+	r := Read{Time: p.Load.Prefill, Due: now + p.ReadBy}
 	l.change(l.local, k, func(a *account) {
-		a.load = a.load.plus(p.Load.Minus(Load{Read: p.Load.Read}))
+		a.load = a.load.plus(p.Load.Minus(Load{Prefill: p.Load.Prefill}))
 		if r.Time > 0 {
 			a.prefills = append(a.prefills, r)
 		}
--- a/decide/spread/load.go
+++ b/decide/spread/load.go
@@ -14,36 +14,38 @@
 type Load struct {
 	// Calls are the requests whose answer the server decodes.
 	Calls int64
-	// LongCalls are the calls with a deep prompt.
-	LongCalls int64
+	// DeepCalls are the calls with a deep prompt.
+	DeepCalls int64 `json:"LongCalls"`
 	// HeldTokens is the KV cache of the calls and the parts reserved for calls of other
 	// servers.
 	HeldTokens int64
-	// Read is the prefill time that is still pending, by prediction.
-	Read time.Duration
-	// Unread is the prefill time of prompts whose first event has not come. Read ends at
-	// its predicted end, Unread when the first event confirms it.
-	Unread time.Duration
+	// Prefill is the prefill time that is still pending, by prediction.
+	Prefill time.Duration `json:"Read"`
+	// UnconfirmedPrefill is the prefill time of prompts whose first event has not come. Read ends at
+	// its predicted end, UnconfirmedPrefill when the first event confirms it.
+	UnconfirmedPrefill time.Duration `json:"Unread"`
 	// Parts are prompts of which the server prefills a part for another server.
 	Parts int64
 }
 
 func (l Load) plus(o Load) Load {
-	return Load{Calls: l.Calls + o.Calls, LongCalls: l.LongCalls + o.LongCalls, HeldTokens: l.HeldTokens + o.HeldTokens, Read: l.Read + o.Read, Parts: l.Parts + o.Parts, Unread: l.Unread + o.Unread}
+	return Load{Calls: l.Calls + o.Calls, DeepCalls: l.DeepCalls + o.DeepCalls, HeldTokens: l.HeldTokens + o.HeldTokens, Prefill: l.Prefill + o.Prefill, Parts: l.Parts + o.Parts, UnconfirmedPrefill: l.UnconfirmedPrefill + o.UnconfirmedPrefill}
 }
 
 // Minus returns l with o subtracted.
 func (l Load) Minus(o Load) Load {
-	return Load{Calls: l.Calls - o.Calls, LongCalls: l.LongCalls - o.LongCalls, HeldTokens: l.HeldTokens - o.HeldTokens, Read: l.Read - o.Read, Parts: l.Parts - o.Parts, Unread: l.Unread - o.Unread}
+	return Load{Calls: l.Calls - o.Calls, DeepCalls: l.DeepCalls - o.DeepCalls, HeldTokens: l.HeldTokens - o.HeldTokens, Prefill: l.Prefill - o.Prefill, Parts: l.Parts - o.Parts, UnconfirmedPrefill: l.UnconfirmedPrefill - o.UnconfirmedPrefill}
 }
 
 // HasSlots reports whether a server with so many slots runs all its calls at once.
 func (l Load) HasSlots(slots int) bool { return slots > 0 && l.Calls <= int64(slots) }
 
-// Begun is the part of the work that ends with the first event of an answer.
-func (l Load) Begun() Load { return Load{Unread: l.Unread, Parts: l.Parts} }
+// PrefillPhase is the part of the work that ends with the first event of an answer.
+func (l Load) PrefillPhase() Load {
+	return Load{UnconfirmedPrefill: l.UnconfirmedPrefill, Parts: l.Parts}
+}
 
-// Writing is the part of the work that ends with the answer.
-func (l Load) Writing() Load {
-	return Load{Calls: l.Calls, LongCalls: l.LongCalls, HeldTokens: l.HeldTokens}
+// DecodePhase is the part of the work that ends with the answer.
+func (l Load) DecodePhase() Load {
+	return Load{Calls: l.Calls, DeepCalls: l.DeepCalls, HeldTokens: l.HeldTokens}
 }
--- a/decide/spread/meter.go
+++ b/decide/spread/meter.go
@@ -35,7 +35,7 @@
 func Backlog(servers []backends.Server, load func(string) Load) time.Duration {
 	read := make([]time.Duration, 0, len(servers))
 	for _, s := range servers {
-		read = append(read, load(s.ID).Read)
+		read = append(read, load(s.ID).Prefill)
 	}
 	return meanOf(read)
 }
@@ -45,7 +45,7 @@
 // prefill.
 const maxUnconfirmed = 500 * time.Millisecond
 
-// Unread is the mean unconfirmed prefill of the servers that another prompt would use: as
+// UnconfirmedPrefill is the mean unconfirmed prefill of the servers that another prompt would use: as
 // many as can share one, servers with short answers last, then by least unconfirmed
 // prefill. Up to 17 servers it is the mean of all.
 //
@@ -53,12 +53,12 @@
 // anywhere: no more prompts were admitted at a time on 69 engines than on 18, and 0.27
 // instead of 0.70 of the largest tenth were answered. The third of the servers with the
 // least prefill would include those that decode short answers, and delay them.
-func Unread(servers []backends.Server, load func(string) Load) time.Duration {
+func UnconfirmedPrefill(servers []backends.Server, load func(string) Load) time.Duration {
 	others, writers := make([]time.Duration, 0, len(servers)), []time.Duration{}
 	for _, s := range servers {
 		l := load(s.ID)
-		unconfirmed := min(l.Unread, maxUnconfirmed)
-		if l.Calls > l.LongCalls {
+		unconfirmed := min(l.UnconfirmedPrefill, maxUnconfirmed)
+		if l.Calls > l.DeepCalls {
 			writers = append(writers, unconfirmed)
 		} else {
 			others = append(others, unconfirmed)
--- a/decide/spread/place_bench_test.go
+++ b/decide/spread/place_bench_test.go
@@ -14,7 +14,7 @@
 func BenchmarkPlaceDeep(b *testing.B) {
 	f := newFleet(60)
 	for i, s := range f.servers {
-		f.ledger.Add(s.ID, spread.Load{Calls: int64(i % 13), HeldTokens: int64(i%13) * 6000, Read: time.Duration(i%7) * 10 * time.Millisecond})
+		f.ledger.Add(s.ID, spread.Load{Calls: int64(i % 13), HeldTokens: int64(i%13) * 6000, Prefill: time.Duration(i%7) * 10 * time.Millisecond})
 	}
 	r := spread.Request{
 		Fleet: 60, Prompt: 150_000, Answer: 800, Useful: 3 * time.Second, Patience: 9 * time.Second, Pause: time.Second, Tightest: 250 * time.Millisecond,
@@ -35,7 +35,7 @@
 		for _, n := range []int{60, 250, 1000} {
 			f := newFleet(n)
 			for i, s := range f.servers {
-				f.ledger.Add(s.ID, spread.Load{Calls: int64(i % 13), HeldTokens: int64(i%13) * 6000, Read: time.Duration(i%7) * 10 * time.Millisecond})
+				f.ledger.Add(s.ID, spread.Load{Calls: int64(i % 13), HeldTokens: int64(i%13) * 6000, Prefill: time.Duration(i%7) * 10 * time.Millisecond})
 			}
 			r := spread.Request{
 				Fleet: n, Prompt: kind.prompt, Answer: 800, Useful: 3 * time.Second, Patience: 9 * time.Second, Pause: time.Second, Tightest: 250 * time.Millisecond,
--- a/decide/spread/plan.go
+++ b/decide/spread/plan.go
@@ -142,13 +142,13 @@
 	c := chooser{engine: e, load: load, req: r}
 	servers = rotate(exclude(servers, r.Avoid), r.Random)
 	if c.cannotFinish() {
-		return Plan{Backlog: Unread(servers, load), Reason: ForTime}, NoRoom
+		return Plan{Backlog: UnconfirmedPrefill(servers, load), Reason: ForTime}, NoRoom
 	}
 	if backlog, reason := c.holdReason(servers); reason != NoReason {
 		return Plan{Backlog: backlog, Reason: reason}, Hold
 	}
 	if verdict := c.checkSlots(servers); verdict != Placed {
-		return Plan{Backlog: Unread(servers, load), Reason: ForSlot}, verdict
+		return Plan{Backlog: UnconfirmedPrefill(servers, load), Reason: ForSlot}, verdict
 	}
 	c.roles = divide(servers, load, e.Slots)
 	writer, ok := c.writer()
@@ -160,7 +160,7 @@
 	}
 	g := c.cheapestGroup(servers, writer)
 	if c.deep() && c.req.Waited < c.req.Patience && c.harmExceedsValue(g) {
-		return Plan{Backlog: Unread(servers, load), Reason: ForHarm}, Hold
+		return Plan{Backlog: UnconfirmedPrefill(servers, load), Reason: ForHarm}, Hold
 	}
 	return c.plan(writer, g.helpers), Placed
 }
@@ -215,13 +215,13 @@
 
 func (c *chooser) plan(writer backends.Server, helpers []backends.Server) Plan {
 	each := c.partPrefill(len(helpers))
-	first := Part{Server: writer, Load: Load{Calls: 1, HeldTokens: c.neededMemory(), Read: each, Unread: each}}
+	first := Part{Server: writer, Load: Load{Calls: 1, HeldTokens: c.neededMemory(), Prefill: each, UnconfirmedPrefill: each}}
 	if c.deep() {
-		first.Load.LongCalls = 1
+		first.Load.DeepCalls = 1
 	}
 	p := Plan{Parts: []Part{first}, Waiting: c.load(writer.ID).Calls >= int64(c.engine.Slots)}
 	for _, h := range helpers {
-		p.Parts = append(p.Parts, Part{Server: h, Load: Load{Read: each, Unread: each, Parts: 1}})
+		p.Parts = append(p.Parts, Part{Server: h, Load: Load{Prefill: each, UnconfirmedPrefill: each, Parts: 1}})
 	}
 	for i := range p.Parts {
 		p.Parts[i].ReadBy = c.predictPrefillEnd(p.Parts[i].Server, each)
@@ -235,7 +235,7 @@
 // that decodes makes a stride of token steps in each pass.
 func (c *chooser) predictPrefillEnd(s backends.Server, each time.Duration) time.Duration {
 	l := c.load(s.ID)
-	d := l.Read + each
+	d := l.Prefill + each
 	if l.Calls > 0 {
 		d += Pass(c.engine, l)
 	}
--- a/decide/spread/roles.go
+++ b/decide/spread/roles.go
@@ -55,8 +55,8 @@
 	calls, deepCalls := int64(1), int64(1)
 	for _, s := range servers {
 		l := load(s.ID)
-		calls += l.Calls - l.LongCalls
-		deepCalls += l.LongCalls
+		calls += l.Calls - l.DeepCalls
+		deepCalls += l.DeepCalls
 	}
 	writers := min(int(maxWriterShare*float64(n)), max(minWriters, ceilDiv(calls, int64(max(1, writerFillShare*float64(slots))))))
 	writers = min(n-1, max(writers, ceilDiv(calls, int64(max(1, slots)))))
--- a/decide/spread/spread_test.go
+++ b/decide/spread/spread_test.go
@@ -51,8 +51,8 @@
 // endPrefill ends the prefill of a plan, as its first event does.
 func (f *fleet) endPrefill(p spread.Plan) {
 	for _, part := range p.Parts {
-		f.ledger.Sub(part.Server.ID, spread.Load{Read: part.Load.Read})
-		f.ledger.Sub(part.Server.ID, part.Load.Begun())
+		f.ledger.Sub(part.Server.ID, spread.Load{Prefill: part.Load.Prefill})
+		f.ledger.Sub(part.Server.ID, part.Load.PrefillPhase())
 	}
 }
 
@@ -121,7 +121,7 @@
 		}
 		p := must(f.place(spread.Request{Prompt: 5000, Answer: 1600}))
 		for _, h := range p.Helpers() {
-			Expect(f.ledger.Of(h.Server.ID).Read - h.Load.Read).To(BeNumerically("<=", 40*time.Millisecond))
+			Expect(f.ledger.Of(h.Server.ID).Prefill - h.Load.Prefill).To(BeNumerically("<=", 40*time.Millisecond))
 		}
 	})
 
@@ -151,12 +151,12 @@
 		must(f.place(spread.Request{Prompt: 500, Answer: 1600}))
 		p := must(f.place(spread.Request{Prompt: 70_000, Answer: 1600}))
 		Expect(f.ledger.Of(p.Writer().ID).Calls).To(BeNumerically(">", 1))
-		Expect(p.Parts[0].Load.Read).To(BeNumerically("<=", 100*time.Millisecond))
+		Expect(p.Parts[0].Load.Prefill).To(BeNumerically("<=", 100*time.Millisecond))
 	})
 
 	It("leaves out a busy engine that would delay the first event of a long prompt", func() {
 		f := newFleet(9)
-		f.ledger.Add("s08", spread.Load{Read: 20 * time.Second})
+		f.ledger.Add("s08", spread.Load{Prefill: 20 * time.Second})
 		p := must(f.place(spread.Request{Prompt: 150_000, Answer: 1000}))
 		Expect(len(p.Helpers())).To(BeNumerically(">=", 4))
 		for _, h := range p.Helpers() {
@@ -180,7 +180,7 @@
 	It("holds such a prompt while the engines are busy, and refuses it when it would be late or the fleet cannot hold it", func() {
 		f := newFleet(21)
 		for _, s := range f.servers {
-			f.ledger.Add(s.ID, spread.Load{Read: 200 * time.Millisecond, Unread: 200 * time.Millisecond})
+			f.ledger.Add(s.ID, spread.Load{Prefill: 200 * time.Millisecond, UnconfirmedPrefill: 200 * time.Millisecond})
 		}
 		r := spread.Request{Prompt: 700_000, Answer: 1000, Patience: 9 * time.Second, Useful: 3 * time.Second}
 		_, v := f.place(r)
@@ -233,7 +233,7 @@
 }
 
 var _ = Describe("the ledger", func() {
-	one := spread.Load{Calls: 1, HeldTokens: 10, Read: time.Second, Parts: 1}
+	one := spread.Load{Calls: 1, HeldTokens: 10, Prefill: time.Second, Parts: 1}
 	report := func(servers ...string) map[spread.Key]spread.Work {
 		out := map[spread.Key]spread.Work{}
 		for _, s := range servers {
@@ -262,7 +262,7 @@
 	})
 
 	part := func(server string, read, by time.Duration) spread.Part {
-		return spread.Part{Server: backends.Server{ID: server}, Load: spread.Load{Calls: 1, Read: read, Unread: read}, ReadBy: by}
+		return spread.Part{Server: backends.Server{ID: server}, Load: spread.Load{Calls: 1, Prefill: read, UnconfirmedPrefill: read}, ReadBy: by}
 	}
 
 	// Each instance works out by itself when a prefill is due to end; reports of that were
@@ -273,10 +273,10 @@
 		peer.Report(5*time.Millisecond, "own", false, own.TakeChanged(2*time.Millisecond))
 		for _, l := range []*spread.Ledger{own, peer} {
 			l.Advance(299 * time.Millisecond)
-			Expect(l.Of("a").Read).To(Equal(100 * time.Millisecond))
+			Expect(l.Of("a").Prefill).To(Equal(100 * time.Millisecond))
 			l.Advance(303 * time.Millisecond)
-			Expect(l.Of("a").Read).To(BeZero())
-			Expect(l.Of("a").Unread).To(Equal(100*time.Millisecond), "a prompt without a first event stays unconfirmed")
+			Expect(l.Of("a").Prefill).To(BeZero())
+			Expect(l.Of("a").UnconfirmedPrefill).To(Equal(100*time.Millisecond), "a prompt without a first event stays unconfirmed")
 		}
 		Expect(own.TakeChanged(time.Second)).To(BeEmpty())
 	})
@@ -286,11 +286,11 @@
 		first := l.Place(0, part("a", 100*time.Millisecond, time.Second))
 		l.Place(0, part("a", 50*time.Millisecond, 2*time.Second))
 		l.EndRead("a", first)
-		Expect(l.Of("a").Read).To(Equal(50 * time.Millisecond))
+		Expect(l.Of("a").Prefill).To(Equal(50 * time.Millisecond))
 		l.EndRead("a", first)
-		Expect(l.Of("a").Read).To(Equal(50*time.Millisecond), "ending a prefill twice has no effect")
+		Expect(l.Of("a").Prefill).To(Equal(50*time.Millisecond), "ending a prefill twice has no effect")
 		l.Advance(2 * time.Second)
-		Expect(l.Of("a").Read).To(BeZero())
+		Expect(l.Of("a").Prefill).To(BeZero())
 	})
 
 	It("drops a prefill that a later report replaced, or whose peer is gone", func() {
@@ -301,7 +301,7 @@
 		l.Report(0, "peer", false, read(time.Second))
 		l.Report(0, "peer", false, read(3*time.Second))
 		l.Advance(2 * time.Second)
-		Expect(l.Of("a").Read).To(Equal(time.Second))
+		Expect(l.Of("a").Prefill).To(Equal(time.Second))
 		l.Keep(map[string]bool{})
 		l.Advance(4 * time.Second)
 		Expect(l.Of("a")).To(Equal(spread.Load{}))
@@ -356,7 +356,7 @@
 	It("ignores a few engines that are busy for long", func() {
 		f := newFleet(21)
 		for _, s := range f.servers[:7] {
-			f.ledger.Add(s.ID, spread.Load{Unread: 6 * time.Second, Read: 6 * time.Second})
+			f.ledger.Add(s.ID, spread.Load{UnconfirmedPrefill: 6 * time.Second, Prefill: 6 * time.Second})
 		}
 		Expect(deep(f, 154_000, 0)).To(Equal(spread.Placed))
 	})
@@ -367,7 +367,7 @@
 		f := newFleet(21)
 		for range 3 {
 			for _, part := range must(f.place(spread.Request{Prompt: 250_000, Answer: 800})).Parts {
-				f.ledger.Sub(part.Server.ID, spread.Load{Read: part.Load.Read})
+				f.ledger.Sub(part.Server.ID, spread.Load{Prefill: part.Load.Prefill})
 			}
 		}
 		Expect(deep(f, 154_000, 0)).To(Equal(spread.Hold))
@@ -381,7 +381,9 @@
 })
 
 // meanUnconfirmed is the mean unconfirmed prefill of the engines.
-func (f *fleet) meanUnconfirmed() time.Duration { return spread.Unread(f.servers, f.ledger.Of) }
+func (f *fleet) meanUnconfirmed() time.Duration {
+	return spread.UnconfirmedPrefill(f.servers, f.ledger.Of)
+}
 
 var _ = Describe("prompts larger than an engine", func() {
 	const tokens = 400_000
@@ -446,10 +448,10 @@
 	// peer.
 	It("are dropped", func() {
 		l := spread.NewLedger()
-		l.Report(0, "a", true, map[spread.Key]spread.Work{spread.KeyOf("s"): {Load: spread.Load{Unread: time.Second}}})
-		l.Report(2*time.Second, "b", true, map[spread.Key]spread.Work{spread.KeyOf("s"): {Load: spread.Load{Unread: time.Second}}})
+		l.Report(0, "a", true, map[spread.Key]spread.Work{spread.KeyOf("s"): {Load: spread.Load{UnconfirmedPrefill: time.Second}}})
+		l.Report(2*time.Second, "b", true, map[spread.Key]spread.Work{spread.KeyOf("s"): {Load: spread.Load{UnconfirmedPrefill: time.Second}}})
 		Expect(l.Expire(time.Second)).To(ConsistOf("a"))
-		Expect(l.Of("s").Unread).To(Equal(time.Second))
+		Expect(l.Of("s").UnconfirmedPrefill).To(Equal(time.Second))
 		Expect(l.Expire(time.Second)).To(BeEmpty())
 	})
 })
--- a/decide/spread/writer.go
+++ b/decide/spread/writer.go
@@ -75,7 +75,7 @@
 	}
 	cost := func(s backends.Server) time.Duration {
 		l := c.load(s.ID)
-		return l.Read + time.Duration(l.Calls)*callCost + time.Duration(l.LongCalls)*deepCallCost
+		return l.Prefill + time.Duration(l.Calls)*callCost + time.Duration(l.DeepCalls)*deepCallCost
 	}
 	if c.deep() {
 		return c.instanceChoice(fit, cost), true
--- a/lab/passes/instance.go
+++ b/lab/passes/instance.go
@@ -185,7 +185,7 @@
 	for i := range q.plan.Parts {
 		p := &q.plan.Parts[i]
 		n.ledger.EndRead(p.Server.ID, p.Noted)
-		begun := p.Load.Begun()
+		begun := p.Load.PrefillPhase()
 		n.ledger.Sub(p.Server.ID, begun)
 		p.Load = p.Load.Minus(begun)
 	}
@@ -197,7 +197,7 @@
 	n.firstEvent(q)
 	for i := range q.plan.Parts {
 		p := &q.plan.Parts[i]
-		n.ledger.Sub(p.Server.ID, p.Load.Writing())
+		n.ledger.Sub(p.Server.ID, p.Load.DecodePhase())
 		p.Load = spread.Load{}
 	}
 	n.dropAll(q, q.plan)
--- a/serve/relay/log.go
+++ b/serve/relay/log.go
@@ -16,7 +16,7 @@
 	x.log("answered", zap.String("server", plan.Writer().ID), zap.Int("helpers", len(plan.Helpers())),
 		zap.Duration("predicted", plan.FirstEvent), zap.Duration("first", x.firstLatency), zap.Duration("longest_gap", x.longestGap), zap.Bool("waiting", plan.Waiting),
 		zap.Duration("first_target", x.route.FirstTarget), zap.Duration("gap_target", x.route.GapTarget),
-		zap.Duration("gap_read", x.gapLoad.Unread), zap.Duration("gap_pass", spread.Pass(x.service.Engine, x.gapLoad)))
+		zap.Duration("gap_read", x.gapLoad.UnconfirmedPrefill), zap.Duration("gap_pass", spread.Pass(x.service.Engine, x.gapLoad)))
 }
 
 // logPlaced logs the servers of an attempt and what the choice was based on.
