--- a/control/loads/loads.go
+++ b/control/loads/loads.go
@@ -133,7 +133,7 @@
 		return p, v
 	}
 	for i, part := range p.Parts {
-		p.Parts[i].Noted = l.ledger.Place(now, part)
+		p.Parts[i].Recorded = l.ledger.Place(now, part)
 	}
 	l.wake()
 	return p, spread.Placed
@@ -145,7 +145,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, part := range p.Parts {
-		l.ledger.EndRead(part.Server.ID, part.Noted)
+		l.ledger.EndPrefill(part.Server.ID, part.Recorded)
 		l.ledger.Sub(part.Server.ID, part.Load.PrefillPhase())
 	}
 	l.wake()
--- a/control/loads/report.go
+++ b/control/loads/report.go
@@ -21,10 +21,10 @@
 		r.HeldTokens = append(r.HeldTokens, uint64(max(0, w.HeldTokens)))
 		r.Parts = append(r.Parts, uint32(max(0, w.Parts)))
 		r.Unread = append(r.Unread, ticks(w.UnconfirmedPrefill))
-		r.Reads = append(r.Reads, uint32(len(w.Reads)))
-		for _, part := range w.Reads {
-			r.Read = append(r.Read, ticks(part.Time))
-			r.Due = append(r.Due, ticks(part.Due))
+		r.Reads = append(r.Reads, uint32(len(w.Prefills)))
+		for _, part := range w.Prefills {
+			r.Read = append(r.Read, ticks(part.Duration))
+			r.Due = append(r.Due, ticks(part.ExpectedEnd))
 		}
 	}
 	r.Calls, r.LongCalls, r.HeldTokens = unlessZeros(r.Calls), unlessZeros(r.LongCalls), unlessZeros(r.HeldTokens)
@@ -60,7 +60,7 @@
 			return nil, false
 		}
 		for ; reads > 0; reads-- {
-			w.Reads = append(w.Reads, spread.Read{Time: time.Duration(r.Read[next]) * tick, Due: time.Duration(r.Due[next]) * tick})
+			w.Prefills = append(w.Prefills, spread.Prefill{Duration: time.Duration(r.Read[next]) * tick, ExpectedEnd: time.Duration(r.Due[next]) * tick})
 			next++
 		}
 		out[spread.Key(server)] = w
--- a/control/loads/report_test.go
+++ b/control/loads/report_test.go
@@ -25,7 +25,7 @@
 			HeldTokens: rapid.Int64Range(0, 1<<40).Draw(t, "held"), Parts: rapid.Int64Range(0, 12).Draw(t, "parts"), UnconfirmedPrefill: ticks("unread"),
 		}}
 		for range rapid.IntRange(0, 3).Draw(t, "reads") {
-			w.Reads = append(w.Reads, spread.Read{Time: ticks("read"), Due: ticks("due")})
+			w.Prefills = append(w.Prefills, spread.Prefill{Duration: ticks("read"), ExpectedEnd: ticks("due")})
 		}
 		out[spread.Key(rapid.Uint32().Draw(t, "server"))] = w
 	}
@@ -51,11 +51,11 @@
 			t.Fatalf("%d servers told, %d heard", len(work), len(got))
 		}
 		for server, w := range work {
-			if got[server].Load != w.Load || len(got[server].Reads) != len(w.Reads) {
+			if got[server].Load != w.Load || len(got[server].Prefills) != len(w.Prefills) {
 				t.Fatalf("told %+v, heard %+v", w, got[server])
 			}
-			for i, r := range w.Reads {
-				if got[server].Reads[i] != r {
+			for i, r := range w.Prefills {
+				if got[server].Prefills[i] != r {
 					t.Fatalf("told %+v, heard %+v", w, got[server])
 				}
 			}
@@ -86,16 +86,16 @@
 		}
 		var parts []spread.Part
 		for i := range 10 {
-			p := spread.Part{Server: backends.Server{ID: fmt.Sprintf("s%02d", i)}, Load: spread.Load{Parts: 1, Prefill: 5 * time.Millisecond, UnconfirmedPrefill: 5 * time.Millisecond}, ReadBy: 60 * time.Millisecond}
+			p := spread.Part{Server: backends.Server{ID: fmt.Sprintf("s%02d", i)}, Load: spread.Load{Parts: 1, Prefill: 5 * time.Millisecond, UnconfirmedPrefill: 5 * time.Millisecond}, PrefillEnd: 60 * time.Millisecond}
 			if i == 0 {
 				p.Load.Calls, p.Load.HeldTokens, p.Load.Parts = 1, 6000, 0
 			}
-			p.Noted = ledger.Place(0, p)
+			p.Recorded = ledger.Place(0, p)
 			parts = append(parts, p)
 		}
 		tell(2 * time.Millisecond)
 		for _, p := range parts {
-			ledger.EndRead(p.Server.ID, p.Noted)
+			ledger.EndPrefill(p.Server.ID, p.Recorded)
 			ledger.Sub(p.Server.ID, p.Load.PrefillPhase())
 		}
 		tell(100 * time.Millisecond)
--- a/decide/spread/helpers.go
+++ b/decide/spread/helpers.go
@@ -24,7 +24,7 @@
 
 // partPrefill is the prefill time of one part of the prompt with n helpers.
 func (c *chooser) partPrefill(n int) time.Duration {
-	return ReadTime(c.engine, c.req.Prompt) / time.Duration(n+1)
+	return PrefillTime(c.engine, c.req.Prompt) / time.Duration(n+1)
 }
 
 // eligibleHelpers returns the engines of a group that accept another part, ordered by when
--- a/decide/spread/hold.go
+++ b/decide/spread/hold.go
@@ -33,7 +33,7 @@
 	limit := holdBacklog * holdReferenceTokens / time.Duration(weight(c.engine, c.req.Prompt))
 	limit += time.Duration(float64(limit) * c.waitedShare())
 	if unconfirmed > limit {
-		return unconfirmed, ForReading
+		return unconfirmed, ForPrefill
 	}
 	return unconfirmed, NoReason
 }
--- a/decide/spread/hold_test.go
+++ b/decide/spread/hold_test.go
@@ -32,7 +32,7 @@
 	It("waits while too few engines are free", func() {
 		p, v := busy(69, 60).place(request)
 		Expect(v).To(Equal(spread.Hold))
-		Expect(p.Reason).To(Equal(spread.ForReading))
+		Expect(p.Reason).To(Equal(spread.ForPrefill))
 	})
 
 	It("waits on a small fleet while half of it is busy with prefill", func() {
--- a/decide/spread/ledger.go
+++ b/decide/spread/ledger.go
@@ -17,24 +17,24 @@
 // KeyOf returns the key of a server.
 func KeyOf(server string) Key { return Key(xxhash.Sum64String(server)) }
 
-// Read is the prefill of one part of a prompt.
-type Read struct {
-	// Time is how long the prefill takes, Due when it is expected to end: in Work from the
+// Prefill is the prefill of one part of a prompt.
+type Prefill struct {
+	// Duration is how long the prefill takes, ExpectedEnd when it is expected to end: in Work from the
 	// moment of the report, in a ledger by its clock.
-	Time, Due time.Duration
+	Duration, ExpectedEnd time.Duration
 }
 
 // Work is what one instance placed on one server. Reads are not part of Load: every
 // instance removes them when they are due, so that their end need not be sent.
 type Work struct {
 	Load
-	Reads []Read
+	Prefills []Prefill
 }
 
 // account is the work of one instance on one server, with due times by the ledger's clock.
 type account struct {
 	load     Load
-	prefills []Read
+	prefills []Prefill
 }
 
 // sum is the whole work, pending prefill included.
@@ -44,7 +44,7 @@
 	}
 	sum := a.load
 	for _, r := range a.prefills {
-		sum.Prefill += r.Time
+		sum.Prefill += r.Duration
 	}
 	return sum
 }
@@ -56,7 +56,7 @@
 	}
 	w := Work{Load: a.load}
 	for _, r := range a.prefills {
-		w.Reads = append(w.Reads, Read{Time: r.Time, Due: r.Due - now})
+		w.Prefills = append(w.Prefills, Prefill{Duration: r.Duration, ExpectedEnd: r.ExpectedEnd - now})
 	}
 	return w
 }
@@ -103,26 +103,26 @@
 
 // Place records a part of a plan. Its prefill ends by itself when it is due; EndRead with
 // the returned value ends it sooner.
-func (l *Ledger) Place(now time.Duration, p Part) Read {
+func (l *Ledger) Place(now time.Duration, p Part) Prefill {
 	k := KeyOf(p.Server.ID)
-	r := Read{Time: p.Load.Prefill, Due: now + p.ReadBy}
+	r := Prefill{Duration: p.Load.Prefill, ExpectedEnd: now + p.PrefillEnd}
 	l.change(l.local, k, func(a *account) {
 		a.load = a.load.plus(p.Load.Minus(Load{Prefill: p.Load.Prefill}))
-		if r.Time > 0 {
+		if r.Duration > 0 {
 			a.prefills = append(a.prefills, r)
 		}
 	})
 	l.changed[k] = true
-	if r.Time > 0 {
-		heap.Push(&l.prefillEnds, endEvent{at: r.Due, server: k})
+	if r.Duration > 0 {
+		heap.Push(&l.prefillEnds, endEvent{at: r.ExpectedEnd, server: k})
 	}
 	return r
 }
 
-// EndRead ends a prefill that Place recorded, if it has not ended. The server is not
+// EndPrefill ends a prefill that Place recorded, if it has not ended. The server is not
 // marked as changed: peers end the prefill when it is due, or with the next report on the
 // server.
-func (l *Ledger) EndRead(server string, r Read) {
+func (l *Ledger) EndPrefill(server string, r Prefill) {
 	k := KeyOf(server)
 	if a := l.local[k]; a == nil || !slices.Contains(a.prefills, r) {
 		return
@@ -145,7 +145,7 @@
 			continue
 		}
 		l.change(target, d.server, func(a *account) {
-			a.prefills = slices.DeleteFunc(a.prefills, func(r Read) bool { return r.Due <= now })
+			a.prefills = slices.DeleteFunc(a.prefills, func(r Prefill) bool { return r.ExpectedEnd <= now })
 		})
 	}
 }
@@ -196,12 +196,12 @@
 func (l *Ledger) setPeerWork(now time.Duration, peer string, server Key, w Work) {
 	l.change(l.peers[peer], server, func(a *account) {
 		a.load, a.prefills = w.Load, a.prefills[:0]
-		for _, r := range w.Reads {
-			if r.Due <= 0 {
+		for _, r := range w.Prefills {
+			if r.ExpectedEnd <= 0 {
 				continue
 			}
-			a.prefills = append(a.prefills, Read{Time: r.Time, Due: now + r.Due})
-			heap.Push(&l.prefillEnds, endEvent{at: now + r.Due, peer: peer, server: server})
+			a.prefills = append(a.prefills, Prefill{Duration: r.Duration, ExpectedEnd: now + r.ExpectedEnd})
+			heap.Push(&l.prefillEnds, endEvent{at: now + r.ExpectedEnd, peer: peer, server: server})
 		}
 	})
 }
--- a/decide/spread/plan.go
+++ b/decide/spread/plan.go
@@ -78,13 +78,13 @@
 type Part struct {
 	Server backends.Server
 	Load   Load
-	// ReadBy is the expected end of the prefill of the part, from now.
-	ReadBy time.Duration
+	// PrefillEnd is the expected end of the prefill of the part, from now.
+	PrefillEnd time.Duration
 	// Reserve is the memory in tokens that must be reserved on a helper before the request
 	// is sent, because the writer cannot hold all of it.
 	Reserve int64
-	// Noted is the prefill as Ledger.Place recorded it, for EndRead.
-	Noted Read
+	// Recorded is the prefill as Ledger.Place recorded it, for EndRead.
+	Recorded Prefill
 }
 
 // Plan is where a request is placed. The first part is the writer, which decodes the
@@ -110,9 +110,9 @@
 // Helpers returns the parts of the other servers.
 func (p Plan) Helpers() []Part { return p.Parts[1:] }
 
-// ReadTime is the prefill time of a prompt on an idle engine: linear in its tokens, plus
+// PrefillTime is the prefill time of a prompt on an idle engine: linear in its tokens, plus
 // the attention between each pair of tokens.
-func ReadTime(e *route.Engine, tokens int64) time.Duration {
+func PrefillTime(e *route.Engine, tokens int64) time.Duration {
 	if e.ReadPerSecond <= 0 {
 		return 0
 	}
@@ -224,8 +224,8 @@
 		p.Parts = append(p.Parts, Part{Server: h, Load: Load{Prefill: each, UnconfirmedPrefill: each, Parts: 1}})
 	}
 	for i := range p.Parts {
-		p.Parts[i].ReadBy = c.predictPrefillEnd(p.Parts[i].Server, each)
-		p.FirstEvent = max(p.FirstEvent, p.Parts[i].ReadBy)
+		p.Parts[i].PrefillEnd = c.predictPrefillEnd(p.Parts[i].Server, each)
+		p.FirstEvent = max(p.FirstEvent, p.Parts[i].PrefillEnd)
 	}
 	return p
 }
@@ -255,7 +255,7 @@
 // Deep reports whether a prompt must queue at the instances: its prefill takes long, or no
 // engine has memory for it and its answer.
 func Deep(e *route.Engine, prompt, answer int64) bool {
-	return ReadTime(e, prompt) >= deepPrefill || prompt+answer > usable(e)
+	return PrefillTime(e, prompt) >= deepPrefill || prompt+answer > usable(e)
 }
 
 // usable is the memory of an engine that may be given out.
@@ -264,9 +264,9 @@
 // lateAfter is the wait after which a prompt cannot have its first event within useful,
 // even if as many engines as can share it prefill it.
 func lateAfter(e *route.Engine, prompt int64, useful time.Duration) time.Duration {
-	return useful - ReadTime(e, prompt)/(maxHelpers+1)
+	return useful - PrefillTime(e, prompt)/(maxHelpers+1)
 }
 
 // Short reports whether a prompt is answered by the engines that decode short answers and
 // do little prefill for others.
-func Short(e *route.Engine, tokens int64) bool { return ReadTime(e, tokens) < longPrefill }
+func Short(e *route.Engine, tokens int64) bool { return PrefillTime(e, tokens) < longPrefill }
--- a/decide/spread/reason.go
+++ b/decide/spread/reason.go
@@ -9,8 +9,8 @@
 	NoReason Reason = iota
 	// ForTurn: another held prompt precedes it.
 	ForTurn
-	// ForReading: too much prefill is pending on the engines.
-	ForReading
+	// ForPrefill: too much prefill is pending on the engines.
+	ForPrefill
 	// ForSlot: all slots are taken.
 	ForSlot
 	// ForMemory: the engines together have too little free memory.
--- a/decide/spread/reason_test.go
+++ b/decide/spread/reason_test.go
@@ -27,7 +27,7 @@
 		Expect(p.Reason).To(Equal(want), p.Reason.String())
 	},
 		Entry("another prompt goes first", spread.Load{}, func(r *spread.Request) { r.Behind = true }, spread.ForTurn),
-		Entry("pending prefill", spread.Load{UnconfirmedPrefill: 400 * time.Millisecond}, func(*spread.Request) {}, spread.ForReading),
+		Entry("pending prefill", spread.Load{UnconfirmedPrefill: 400 * time.Millisecond}, func(*spread.Request) {}, spread.ForPrefill),
 		Entry("no free slot", spread.Load{Calls: 16}, func(r *spread.Request) { r.Prompt = 5000 }, spread.ForSlot),
 		Entry("too little free memory", spread.Load{HeldTokens: 290_000, Calls: 1}, func(r *spread.Request) { r.Prompt = 400_000 }, spread.ForMemory),
 		Entry("gaps in answers in progress", spread.Load{Calls: 15, HeldTokens: 60_000}, func(r *spread.Request) { r.Tightest = 70 * time.Millisecond }, spread.ForHarm),
--- a/decide/spread/slots.go
+++ b/decide/spread/slots.go
@@ -43,6 +43,6 @@
 // wouldBeLate reports whether the first event would be late from an engine with the load
 // of the given one: it comes at the end of the pass that prefills the prompt.
 func (c *chooser) wouldBeLate(s backends.Server) bool {
-	took := Pass(c.engine, c.load(s.ID)) + ReadTime(c.engine, c.req.Prompt)
+	took := Pass(c.engine, c.load(s.ID)) + PrefillTime(c.engine, c.req.Prompt)
 	return c.req.Useful > 0 && c.req.Waited+took > c.req.Useful
 }
--- a/decide/spread/spread_test.go
+++ b/decide/spread/spread_test.go
@@ -262,7 +262,7 @@
 	})
 
 	part := func(server string, read, by time.Duration) spread.Part {
-		return spread.Part{Server: backends.Server{ID: server}, Load: spread.Load{Calls: 1, Prefill: read, UnconfirmedPrefill: read}, ReadBy: by}
+		return spread.Part{Server: backends.Server{ID: server}, Load: spread.Load{Calls: 1, Prefill: read, UnconfirmedPrefill: read}, PrefillEnd: by}
 	}
 
 	// Each instance works out by itself when a prefill is due to end; reports of that were
@@ -285,9 +285,9 @@
 		l := spread.NewLedger()
 		first := l.Place(0, part("a", 100*time.Millisecond, time.Second))
 		l.Place(0, part("a", 50*time.Millisecond, 2*time.Second))
-		l.EndRead("a", first)
+		l.EndPrefill("a", first)
 		Expect(l.Of("a").Prefill).To(Equal(50 * time.Millisecond))
-		l.EndRead("a", first)
+		l.EndPrefill("a", first)
 		Expect(l.Of("a").Prefill).To(Equal(50*time.Millisecond), "ending a prefill twice has no effect")
 		l.Advance(2 * time.Second)
 		Expect(l.Of("a").Prefill).To(BeZero())
@@ -296,7 +296,7 @@
 	It("drops a prefill that a later report replaced, or whose peer is gone", func() {
 		l := spread.NewLedger()
 		read := func(due time.Duration) map[spread.Key]spread.Work {
-			return map[spread.Key]spread.Work{spread.KeyOf("a"): {Reads: []spread.Read{{Time: time.Second, Due: due}}}}
+			return map[spread.Key]spread.Work{spread.KeyOf("a"): {Prefills: []spread.Prefill{{Duration: time.Second, ExpectedEnd: due}}}}
 		}
 		l.Report(0, "peer", false, read(time.Second))
 		l.Report(0, "peer", false, read(3*time.Second))
--- a/lab/passes/instance.go
+++ b/lab/passes/instance.go
@@ -157,7 +157,7 @@
 	each := q.prompt / int64(len(plan.Parts))
 	q.context = max(each, q.prompt-reserved(plan))
 	for i, p := range plan.Parts {
-		plan.Parts[i].Noted = n.ledger.Place(n.Now(), p)
+		plan.Parts[i].Recorded = n.ledger.Place(n.Now(), p)
 	}
 	n.After(n.load.Hop.Std(), func() { n.world.arrive(q) })
 	n.changed()
@@ -184,7 +184,7 @@
 func (n *instance) firstEvent(q *request) {
 	for i := range q.plan.Parts {
 		p := &q.plan.Parts[i]
-		n.ledger.EndRead(p.Server.ID, p.Noted)
+		n.ledger.EndPrefill(p.Server.ID, p.Recorded)
 		begun := p.Load.PrefillPhase()
 		n.ledger.Sub(p.Server.ID, begun)
 		p.Load = p.Load.Minus(begun)
