--- a/control/loads/loads.go
+++ b/control/loads/loads.go
@@ -128,7 +128,7 @@
 	defer l.mu.Unlock()
 	now := l.now()
 	l.ledger.Advance(now)
-	p, v := choose(l.ledger.Of, l.queue)
+	p, v := choose(l.ledger.Total, l.queue)
 	if v != spread.Placed {
 		return p, v
 	}
@@ -211,7 +211,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ledger.Advance(l.now())
-	return l.ledger.Of(server)
+	return l.ledger.Total(server)
 }
 
 // Backlog returns the mean reading that servers have before them.
@@ -219,7 +219,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ledger.Advance(l.now())
-	return spread.Backlog(servers, l.ledger.Of)
+	return spread.Backlog(servers, l.ledger.Total)
 }
 
 // Blind reports whether this instance began too recently to know what others
@@ -287,7 +287,7 @@
 	changed := l.ledger.TakeChanged(now)
 	latest := changed
 	if complete {
-		changed = l.ledger.All(now)
+		changed = l.ledger.AllLocalWork(now)
 	} else {
 		changed = l.withLast(now, changed)
 	}
@@ -318,7 +318,7 @@
 		out = map[spread.Key]spread.Work{}
 	}
 	for server := range l.last {
-		out[server] = l.ledger.Own(now, server)
+		out[server] = l.ledger.LocalWork(now, server)
 	}
 	return out
 }
@@ -356,7 +356,7 @@
 		return
 	}
 	l.newest[from] = id
-	l.ledger.Report(l.now(), from, r.Complete, work)
+	l.ledger.ApplyReport(l.now(), from, r.Complete, work)
 	l.queue.Report(l.now(), from, waitingOf(l.now(), r))
 	for server, left := range turnedAway {
 		l.away.Told(l.now(), server, left)
@@ -403,7 +403,7 @@
 	}
 	l.cell, l.mates = next, mates
 	l.members.SetNeighbours(neighboursOf(l.link.Self(), next, live))
-	l.ledger.Keep(mates)
+	l.ledger.RetainPeers(mates)
 	l.queue.Keep(mates)
 	for peer := range l.heard {
 		if !mates[peer] {
@@ -456,8 +456,8 @@
 		return d
 	}
 	for _, s := range list.All() {
-		note(d.Totals, s.ID, l.ledger.Of(s.ID))
-		note(d.Own, s.ID, l.ledger.OwnOf(s.ID))
+		note(d.Totals, s.ID, l.ledger.Total(s.ID))
+		note(d.Own, s.ID, l.ledger.LocalLoad(s.ID))
 		if l.away.Out(l.now(), away.KeyOf(s)) {
 			d.PassedOver = append(d.PassedOver, s.ID)
 		}
--- a/decide/spread/group_test.go
+++ b/decide/spread/group_test.go
@@ -28,7 +28,7 @@
 		f := decoding(15)
 		p := must(f.place(deep))
 		for _, part := range p.Parts {
-			if f.ledger.Of(part.Server.ID).Calls >= 12 {
+			if f.ledger.Total(part.Server.ID).Calls >= 12 {
 				Expect(longestGap(f, part)).To(BeNumerically("<=", deep.Tightest))
 			}
 		}
@@ -61,7 +61,7 @@
 
 // longestGap is the longest gap that a part causes in the answers of an engine.
 func longestGap(f *fleet, p spread.Part) time.Duration {
-	l := f.ledger.Of(p.Server.ID)
+	l := f.ledger.Total(p.Server.ID)
 	return spread.Pass(engine, l) + l.Prefill
 }
 
@@ -75,7 +75,7 @@
 		}
 		for range 30 {
 			p := must(f.place(spread.Request{Prompt: 5000, Answer: 1600, Useful: 300 * time.Millisecond}))
-			Expect(f.ledger.Of(p.Writer().ID).Prefill).To(BeNumerically("<", 300*time.Millisecond))
+			Expect(f.ledger.Total(p.Writer().ID).Prefill).To(BeNumerically("<", 300*time.Millisecond))
 			f.endPrefill(p)
 		}
 	})
--- a/decide/spread/ledger.go
+++ b/decide/spread/ledger.go
@@ -80,11 +80,11 @@
 	return &Ledger{local: accounts{}, peers: map[string]accounts{}, lastReport: map[string]time.Duration{}, total: map[Key]Load{}, changed: map[Key]bool{}}
 }
 
-// Of returns the work of all instances on a server, as of the last Advance.
-func (l *Ledger) Of(server string) Load { return l.total[KeyOf(server)] }
+// Total returns the work of all instances on a server, as of the last Advance.
+func (l *Ledger) Total(server string) Load { return l.total[KeyOf(server)] }
 
-// Own returns the work of this instance on a server.
-func (l *Ledger) Own(now time.Duration, server Key) Work { return l.local[server].work(now) }
+// LocalWork returns the work of this instance on a server.
+func (l *Ledger) LocalWork(now time.Duration, server Key) Work { return l.local[server].work(now) }
 
 // Add records work of this instance. Its prefill ends only by Sub.
 func (l *Ledger) Add(server string, v Load) {
@@ -170,10 +170,10 @@
 	l.total[server] = sum
 }
 
-// Report applies a report of a peer's work. Values are absolute, so the next report
+// ApplyReport applies a report of a peer's work. Values are absolute, so the next report
 // corrects one that was lost, and duplicates do no harm. A complete report also ends the
 // work on servers that it does not list.
-func (l *Ledger) Report(now time.Duration, peer string, complete bool, reported map[Key]Work) {
+func (l *Ledger) ApplyReport(now time.Duration, peer string, complete bool, reported map[Key]Work) {
 	l.lastReport[peer] = now
 	known := l.peers[peer]
 	if known == nil {
@@ -206,8 +206,8 @@
 	})
 }
 
-// Keep drops the work of peers that are not live: their requests ended with them.
-func (l *Ledger) Keep(live map[string]bool) {
+// RetainPeers drops the work of peers that are not live: their requests ended with them.
+func (l *Ledger) RetainPeers(live map[string]bool) {
 	for peer := range l.peers {
 		if !live[peer] {
 			l.forget(peer)
@@ -245,14 +245,14 @@
 	}
 	out := make(map[Key]Work, len(l.changed))
 	for server := range l.changed {
-		out[server] = l.Own(now, server)
+		out[server] = l.LocalWork(now, server)
 	}
 	clear(l.changed)
 	return out
 }
 
-// All returns the whole work of this instance.
-func (l *Ledger) All(now time.Duration) map[Key]Work {
+// AllLocalWork returns the whole work of this instance.
+func (l *Ledger) AllLocalWork(now time.Duration) map[Key]Work {
 	out := make(map[Key]Work, len(l.local))
 	for server, a := range l.local {
 		out[server] = a.work(now)
@@ -260,8 +260,8 @@
 	return out
 }
 
-// OwnOf returns the work of this instance on a server, pending prefill included.
-func (l *Ledger) OwnOf(server string) Load { return l.local[KeyOf(server)].sum() }
+// LocalLoad returns the work of this instance on a server, pending prefill included.
+func (l *Ledger) LocalLoad(server string) Load { return l.local[KeyOf(server)].sum() }
 
 // endEvent is when a prefill ends on a server, placed by a peer or, if peer is empty, by
 // this instance.
--- a/decide/spread/place_bench_test.go
+++ b/decide/spread/place_bench_test.go
@@ -21,7 +21,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		spread.Choose(engine, f.servers, f.ledger.Of, r)
+		spread.Choose(engine, f.servers, f.ledger.Total, r)
 	}
 }
 
@@ -43,7 +43,7 @@
 			b.Run(fmt.Sprintf("%s-%d", kind.name, n), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
-					spread.Choose(engine, f.servers, f.ledger.Of, r)
+					spread.Choose(engine, f.servers, f.ledger.Total, r)
 				}
 			})
 		}
--- a/decide/spread/slots_test.go
+++ b/decide/spread/slots_test.go
@@ -69,7 +69,7 @@
 		fast := *engine
 		fast.ReadPerSecond, fast.PairsPerMillion, fast.Memory = 1e6, 0, 100_000
 		f := newFleet(4)
-		p, v := spread.Choose(&fast, f.servers, f.ledger.Of, spread.Request{Fleet: 4, Prompt: 150_000, Answer: 100, Useful: 300 * time.Millisecond, Patience: 900 * time.Millisecond})
+		p, v := spread.Choose(&fast, f.servers, f.ledger.Total, spread.Request{Fleet: 4, Prompt: 150_000, Answer: 100, Useful: 300 * time.Millisecond, Patience: 900 * time.Millisecond})
 		Expect(v).To(Equal(spread.Placed))
 		Expect(p.Helpers()).NotTo(BeEmpty())
 	})
--- a/decide/spread/spread_test.go
+++ b/decide/spread/spread_test.go
@@ -39,7 +39,7 @@
 
 func (f *fleet) place(r spread.Request) (spread.Plan, spread.Verdict) {
 	r.Fleet = len(f.servers)
-	p, v := spread.Choose(engine, f.servers, f.ledger.Of, r)
+	p, v := spread.Choose(engine, f.servers, f.ledger.Total, r)
 	if v == spread.Placed {
 		for _, part := range p.Parts {
 			f.ledger.Add(part.Server.ID, part.Load)
@@ -95,7 +95,7 @@
 			f.endPrefill(p)
 		}
 		for _, s := range f.servers {
-			Expect(f.ledger.Of(s.ID).Calls).To(BeNumerically("<=", engine.Slots))
+			Expect(f.ledger.Total(s.ID).Calls).To(BeNumerically("<=", engine.Slots))
 		}
 	})
 
@@ -108,7 +108,7 @@
 			}
 		}
 		for _, s := range f.servers {
-			Expect(f.ledger.Of(s.ID).HeldTokens).To(BeNumerically("<=", engine.Memory))
+			Expect(f.ledger.Total(s.ID).HeldTokens).To(BeNumerically("<=", engine.Memory))
 		}
 	})
 
@@ -121,7 +121,7 @@
 		}
 		p := must(f.place(spread.Request{Prompt: 5000, Answer: 1600}))
 		for _, h := range p.Helpers() {
-			Expect(f.ledger.Of(h.Server.ID).Prefill - h.Load.Prefill).To(BeNumerically("<=", 40*time.Millisecond))
+			Expect(f.ledger.Total(h.Server.ID).Prefill - h.Load.Prefill).To(BeNumerically("<=", 40*time.Millisecond))
 		}
 	})
 
@@ -150,7 +150,7 @@
 		must(f.place(spread.Request{Prompt: 500, Answer: 1600}))
 		must(f.place(spread.Request{Prompt: 500, Answer: 1600}))
 		p := must(f.place(spread.Request{Prompt: 70_000, Answer: 1600}))
-		Expect(f.ledger.Of(p.Writer().ID).Calls).To(BeNumerically(">", 1))
+		Expect(f.ledger.Total(p.Writer().ID).Calls).To(BeNumerically(">", 1))
 		Expect(p.Parts[0].Load.Prefill).To(BeNumerically("<=", 100*time.Millisecond))
 	})
 
@@ -207,7 +207,7 @@
 			f.place(spread.Request{Prompt: 150_000, Answer: 10})
 		}
 		for _, s := range f.servers {
-			Expect(f.ledger.Of(s.ID).Parts).To(BeNumerically("<=", engine.Slots))
+			Expect(f.ledger.Total(s.ID).Parts).To(BeNumerically("<=", engine.Slots))
 		}
 	})
 
@@ -222,7 +222,7 @@
 	It("takes the least loaded server of a plain service, among equals one in the same data centre", func() {
 		f := newFleet(3)
 		f.ledger.Add("s00", spread.Load{Calls: 2})
-		p, _ := spread.ChoosePlain(f.servers, f.ledger.Of, spread.Request{DataCentre: "dc-2"})
+		p, _ := spread.ChoosePlain(f.servers, f.ledger.Total, spread.Request{DataCentre: "dc-2"})
 		Expect(p.Writer().ID).To(Equal("s02"))
 	})
 })
@@ -245,20 +245,20 @@
 	It("adds up the work of all instances and drops that of instances that are gone", func() {
 		l := spread.NewLedger()
 		l.Add("a", one)
-		l.Report(0, "peer", false, report("a", "b"))
-		Expect(l.Of("a").Calls).To(Equal(int64(2)))
-		l.Keep(map[string]bool{})
-		Expect(l.Of("a").Calls).To(Equal(int64(1)))
-		Expect(l.Of("b")).To(Equal(spread.Load{}))
+		l.ApplyReport(0, "peer", false, report("a", "b"))
+		Expect(l.Total("a").Calls).To(Equal(int64(2)))
+		l.RetainPeers(map[string]bool{})
+		Expect(l.Total("a").Calls).To(Equal(int64(1)))
+		Expect(l.Total("b")).To(Equal(spread.Load{}))
 	})
 
 	// Guards against an engine that looks busy for ever because the report that its work
 	// ended was lost.
 	It("is corrected by the next complete report", func() {
 		l := spread.NewLedger()
-		l.Report(0, "peer", false, report("a"))
-		l.Report(0, "peer", true, report())
-		Expect(l.Of("a")).To(Equal(spread.Load{}))
+		l.ApplyReport(0, "peer", false, report("a"))
+		l.ApplyReport(0, "peer", true, report())
+		Expect(l.Total("a")).To(Equal(spread.Load{}))
 	})
 
 	part := func(server string, read, by time.Duration) spread.Part {
@@ -270,13 +270,13 @@
 	It("ends a prefill when it is due, locally and at peers, without a report", func() {
 		own, peer := spread.NewLedger(), spread.NewLedger()
 		own.Place(0, part("a", 100*time.Millisecond, 300*time.Millisecond))
-		peer.Report(5*time.Millisecond, "own", false, own.TakeChanged(2*time.Millisecond))
+		peer.ApplyReport(5*time.Millisecond, "own", false, own.TakeChanged(2*time.Millisecond))
 		for _, l := range []*spread.Ledger{own, peer} {
 			l.Advance(299 * time.Millisecond)
-			Expect(l.Of("a").Prefill).To(Equal(100 * time.Millisecond))
+			Expect(l.Total("a").Prefill).To(Equal(100 * time.Millisecond))
 			l.Advance(303 * time.Millisecond)
-			Expect(l.Of("a").Prefill).To(BeZero())
-			Expect(l.Of("a").UnconfirmedPrefill).To(Equal(100*time.Millisecond), "a prompt without a first event stays unconfirmed")
+			Expect(l.Total("a").Prefill).To(BeZero())
+			Expect(l.Total("a").UnconfirmedPrefill).To(Equal(100*time.Millisecond), "a prompt without a first event stays unconfirmed")
 		}
 		Expect(own.TakeChanged(time.Second)).To(BeEmpty())
 	})
@@ -286,11 +286,11 @@
 		first := l.Place(0, part("a", 100*time.Millisecond, time.Second))
 		l.Place(0, part("a", 50*time.Millisecond, 2*time.Second))
 		l.EndPrefill("a", first)
-		Expect(l.Of("a").Prefill).To(Equal(50 * time.Millisecond))
+		Expect(l.Total("a").Prefill).To(Equal(50 * time.Millisecond))
 		l.EndPrefill("a", first)
-		Expect(l.Of("a").Prefill).To(Equal(50*time.Millisecond), "ending a prefill twice has no effect")
+		Expect(l.Total("a").Prefill).To(Equal(50*time.Millisecond), "ending a prefill twice has no effect")
 		l.Advance(2 * time.Second)
-		Expect(l.Of("a").Prefill).To(BeZero())
+		Expect(l.Total("a").Prefill).To(BeZero())
 	})
 
 	It("drops a prefill that a later report replaced, or whose peer is gone", func() {
@@ -298,13 +298,13 @@
 		read := func(due time.Duration) map[spread.Key]spread.Work {
 			return map[spread.Key]spread.Work{spread.KeyOf("a"): {Prefills: []spread.Prefill{{Duration: time.Second, ExpectedEnd: due}}}}
 		}
-		l.Report(0, "peer", false, read(time.Second))
-		l.Report(0, "peer", false, read(3*time.Second))
+		l.ApplyReport(0, "peer", false, read(time.Second))
+		l.ApplyReport(0, "peer", false, read(3*time.Second))
 		l.Advance(2 * time.Second)
-		Expect(l.Of("a").Prefill).To(Equal(time.Second))
-		l.Keep(map[string]bool{})
+		Expect(l.Total("a").Prefill).To(Equal(time.Second))
+		l.RetainPeers(map[string]bool{})
 		l.Advance(4 * time.Second)
-		Expect(l.Of("a")).To(Equal(spread.Load{}))
+		Expect(l.Total("a")).To(Equal(spread.Load{}))
 	})
 
 	It("reports changes once, with their present value", func() {
@@ -382,7 +382,7 @@
 
 // meanUnconfirmed is the mean unconfirmed prefill of the engines.
 func (f *fleet) meanUnconfirmed() time.Duration {
-	return spread.UnconfirmedPrefill(f.servers, f.ledger.Of)
+	return spread.UnconfirmedPrefill(f.servers, f.ledger.Total)
 }
 
 var _ = Describe("prompts larger than an engine", func() {
@@ -448,10 +448,10 @@
 	// peer.
 	It("are dropped", func() {
 		l := spread.NewLedger()
-		l.Report(0, "a", true, map[spread.Key]spread.Work{spread.KeyOf("s"): {Load: spread.Load{UnconfirmedPrefill: time.Second}}})
-		l.Report(2*time.Second, "b", true, map[spread.Key]spread.Work{spread.KeyOf("s"): {Load: spread.Load{UnconfirmedPrefill: time.Second}}})
+		l.ApplyReport(0, "a", true, map[spread.Key]spread.Work{spread.KeyOf("s"): {Load: spread.Load{UnconfirmedPrefill: time.Second}}})
+		l.ApplyReport(2*time.Second, "b", true, map[spread.Key]spread.Work{spread.KeyOf("s"): {Load: spread.Load{UnconfirmedPrefill: time.Second}}})
 		Expect(l.Expire(time.Second)).To(ConsistOf("a"))
-		Expect(l.Of("s").UnconfirmedPrefill).To(Equal(time.Second))
+		Expect(l.Total("s").UnconfirmedPrefill).To(Equal(time.Second))
 		Expect(l.Expire(time.Second)).To(BeEmpty())
 	})
 })
--- a/lab/passes/instance.go
+++ b/lab/passes/instance.go
@@ -63,7 +63,7 @@
 		n.After(n.load.Peers.Std(), func() {
 			for _, o := range n.instances {
 				if o != n {
-					o.ledger.Report(n.Now(), n.name, false, loads)
+					o.ledger.ApplyReport(n.Now(), n.name, false, loads)
 					o.queue.Report(n.Now(), n.name, waiting)
 				}
 			}
@@ -87,7 +87,7 @@
 	waited, useful := n.Now()-q.came, q.kind.First.Std()
 	turn := spread.TurnOf(n.spec, q.id, q.prompt, q.came, useful)
 	left := q.kind.Deadline.Std() - (n.Now() - q.arrived)
-	plan, verdict := spread.Choose(n.spec, n.servers, n.ledger.Of, spread.Request{
+	plan, verdict := spread.Choose(n.spec, n.servers, n.ledger.Total, spread.Request{
 		Instance: n.name, Fleet: len(n.servers), Avoid: q.avoid,
 		Prompt: q.prompt, Answer: n.spec.UsualAnswer,
 		Useful: useful, Pause: q.kind.Pause.Std(), Tightest: n.tightest,
