--- a/decide/spread/distributed.go
+++ b/decide/spread/distributed.go
@@ -25,7 +25,7 @@
 	slices.SortFunc(all, func(a, b backends.Server) int {
 		return cmp.Or(cmp.Compare(c.freeMemory(b), c.freeMemory(a)), cmp.Compare(a.ID, b.ID))
 	})
-	refused := Plan{Backlog: Backlog(all, c.load), MostRoom: c.freeMemory(all[0])}
+	refused := Plan{Backlog: Backlog(all, c.load), MaxFreeMemory: c.freeMemory(all[0])}
 	left := c.neededMemory()
 	var holders []backends.Server
 	for _, s := range all {
@@ -42,7 +42,7 @@
 	if c.planHarm(p) > value(c.req.Prompt) {
 		return c.holdOrReject(refused, ForHarm)
 	}
-	if c.req.Useful > 0 && c.req.Waited+p.FirstEvent > c.req.Useful {
+	if c.req.FirstTarget > 0 && c.req.Waited+p.FirstEvent > c.req.FirstTarget {
 		return c.holdOrReject(refused, ForTime)
 	}
 	return p, Placed
@@ -54,17 +54,17 @@
 // or answered late, and delayed all other requests.
 func (c *chooser) holdOrReject(p Plan, why Reason) (Plan, Verdict) {
 	p.Reason = why
-	if c.req.Waited < c.req.Patience && !c.late() {
+	if c.req.Waited < c.req.MaxHold && !c.late() {
 		return p, Hold
 	}
-	return p, NoRoom
+	return p, Overloaded
 }
 
 // maxPromptMemory is the largest prompt that the servers of the service can hold together.
 // It includes servers that this request avoids and those out of rotation: a prompt too
 // large only for the remaining ones is rejected for now, not for good.
 func (c *chooser) maxPromptMemory() int64 {
-	return usable(c.engine) * int64(min(c.req.Fleet, maxHelpers+1))
+	return usable(c.engine) * int64(min(c.req.FleetSize, maxHelpers+1))
 }
 
 // minReserve is the least memory in tokens worth reserving on an engine.
--- a/decide/spread/group.go
+++ b/decide/spread/group.go
@@ -33,10 +33,10 @@
 // itself the later its first event comes.
 func (c *chooser) cost(g group) float64 {
 	promptValue := value(c.req.Prompt)
-	if c.req.Useful <= 0 {
+	if c.req.FirstTarget <= 0 {
 		return g.harm + promptValue*g.first.Seconds()
 	}
-	took := float64(c.req.Waited+g.first) / float64(c.req.Useful)
+	took := float64(c.req.Waited+g.first) / float64(c.req.FirstTarget)
 	cost := g.harm + promptValue*latencyPenalty*took
 	if took > 1 {
 		cost += promptValue * (1 - lateValue)
@@ -50,7 +50,7 @@
 // in time.
 func (c *chooser) harmExceedsValue(g group) bool {
 	worth := value(c.req.Prompt)
-	if c.req.Useful > 0 && c.req.Waited+g.first > c.req.Useful {
+	if c.req.FirstTarget > 0 && c.req.Waited+g.first > c.req.FirstTarget {
 		worth *= lateValue
 	}
 	return g.harm > worth
@@ -87,7 +87,7 @@
 		return k
 	}
 	each := value(l.HeldTokens/l.Calls) * (1 - lateValue)
-	k.predictedGap = Pass(c.engine, l) + l.Prefill + gapMargin
+	k.predictedGap = PassTime(c.engine, l) + l.Prefill + gapMargin
 	k.tightValue, k.looseValue = float64(l.Calls-l.DeepCalls)*each, float64(l.DeepCalls)*each
 	return k
 }
@@ -96,10 +96,10 @@
 // causes.
 func (c *chooser) engineHarm(k candidate, part time.Duration) (harm float64) {
 	gap := k.predictedGap + part
-	if k.tightValue > 0 && c.req.Tightest > 0 && gap > c.req.Tightest {
+	if k.tightValue > 0 && c.req.TightestGap > 0 && gap > c.req.TightestGap {
 		harm += k.tightValue
 	}
-	if k.looseValue > 0 && c.req.Pause > 0 && gap > c.req.Pause {
+	if k.looseValue > 0 && c.req.GapTarget > 0 && gap > c.req.GapTarget {
 		harm += k.looseValue
 	}
 	return harm
--- a/decide/spread/group_test.go
+++ b/decide/spread/group_test.go
@@ -11,7 +11,7 @@
 
 var _ = Describe("helpers of a long prompt", func() {
 	deep := spread.Request{
-		Prompt: 150_000, Answer: 800, Useful: 3 * time.Second, Patience: 9 * time.Second, Pause: time.Second, Tightest: 250 * time.Millisecond,
+		Prompt: 150_000, Answer: 800, FirstTarget: 3 * time.Second, MaxHold: 9 * time.Second, GapTarget: time.Second, TightestGap: 250 * time.Millisecond,
 	}
 	// decoding returns a fleet with short answers in progress on the first n engines.
 	decoding := func(n int) *fleet {
@@ -29,7 +29,7 @@
 		p := must(f.place(deep))
 		for _, part := range p.Parts {
 			if f.ledger.Total(part.Server.ID).Calls >= 12 {
-				Expect(longestGap(f, part)).To(BeNumerically("<=", deep.Tightest))
+				Expect(longestGap(f, part)).To(BeNumerically("<=", deep.TightestGap))
 			}
 		}
 	})
@@ -41,7 +41,7 @@
 		p := must(f.place(r))
 		Expect(len(p.Parts)).To(BeNumerically(">=", 5))
 		for _, part := range p.Parts {
-			Expect(longestGap(f, part)).To(BeNumerically("<=", deep.Tightest))
+			Expect(longestGap(f, part)).To(BeNumerically("<=", deep.TightestGap))
 		}
 	})
 
@@ -53,7 +53,7 @@
 		_, v := f.place(deep)
 		Expect(v).To(Equal(spread.Hold))
 		r := deep
-		r.Waited = r.Patience
+		r.Waited = r.MaxHold
 		_, v = f.place(r)
 		Expect(v).To(Equal(spread.Placed))
 	})
@@ -62,7 +62,7 @@
 // longestGap is the longest gap that a part causes in the answers of an engine.
 func longestGap(f *fleet, p spread.Part) time.Duration {
 	l := f.ledger.Total(p.Server.ID)
-	return spread.Pass(engine, l) + l.Prefill
+	return spread.PassTime(engine, l) + l.Prefill
 }
 
 var _ = Describe("a short prompt", func() {
@@ -74,7 +74,7 @@
 			f.ledger.Add(s.ID, spread.Load{Prefill: time.Second, UnconfirmedPrefill: time.Second})
 		}
 		for range 30 {
-			p := must(f.place(spread.Request{Prompt: 5000, Answer: 1600, Useful: 300 * time.Millisecond}))
+			p := must(f.place(spread.Request{Prompt: 5000, Answer: 1600, FirstTarget: 300 * time.Millisecond}))
 			Expect(f.ledger.Total(p.Writer().ID).Prefill).To(BeNumerically("<", 300*time.Millisecond))
 			f.endPrefill(p)
 		}
@@ -82,7 +82,7 @@
 })
 
 var _ = Describe("a deep prompt", func() {
-	deep := spread.Request{Prompt: 150_000, Answer: 800, Useful: 3 * time.Second, Patience: 9 * time.Second, Pause: time.Second, Tightest: 250 * time.Millisecond}
+	deep := spread.Request{Prompt: 150_000, Answer: 800, FirstTarget: 3 * time.Second, MaxHold: 9 * time.Second, GapTarget: time.Second, TightestGap: 250 * time.Millisecond}
 
 	// Guards against two instances that place deep prompts within a millisecond both
 	// choosing the least loaded engine, which has memory for one; the other would be
@@ -114,10 +114,10 @@
 	It("is refused at once if its answer cannot be complete before the caller's timeout", func() {
 		f := newFleet(21)
 		r := deep
-		r.Prompt, r.Left = 300_000, 700*time.Millisecond
+		r.Prompt, r.TimeLeft = 300_000, 700*time.Millisecond
 		_, v := f.place(r)
-		Expect(v).To(Equal(spread.NoRoom))
-		r.Left = 5 * time.Second
+		Expect(v).To(Equal(spread.Overloaded))
+		r.TimeLeft = 5 * time.Second
 		must(f.place(r))
 	})
 })
--- a/decide/spread/helpers.go
+++ b/decide/spread/helpers.go
@@ -12,7 +12,7 @@
 // decode nothing and have almost no prefill pending.
 func (c *chooser) shortHelpers(writer backends.Server) []backends.Server {
 	want := min(int((c.req.Prompt+partTokens-1)/partTokens)-1, maxHelpers)
-	if want <= 0 || c.req.Alone {
+	if want <= 0 || c.req.NoHelpers {
 		return nil
 	}
 	idle := c.eligibleHelpers(c.roles.prefillEngines, writer)
--- a/decide/spread/hold.go
+++ b/decide/spread/hold.go
@@ -23,11 +23,11 @@
 // wait until it is lower. The limit is higher for smaller prompts, so that they pass
 // larger ones that wait at other instances.
 func (c *chooser) holdReason(servers []backends.Server) (time.Duration, Reason) {
-	if !c.deep() || c.req.Waited >= c.req.Patience || c.exceedsEngine() && c.late() {
+	if !c.deep() || c.req.Waited >= c.req.MaxHold || c.exceedsEngine() && c.late() {
 		return 0, NoReason
 	}
 	unconfirmed := UnconfirmedPrefill(servers, c.load)
-	if c.req.Behind {
+	if c.req.MustWait {
 		return unconfirmed, ForTurn
 	}
 	limit := holdBacklog * holdReferenceTokens / time.Duration(weight(c.engine, c.req.Prompt))
@@ -43,10 +43,10 @@
 // queue until it is late. Four times as much growth cost up to 0.04 of the value of all
 // requests.
 func (c *chooser) waitedShare() float64 {
-	if c.req.Useful <= 0 {
+	if c.req.FirstTarget <= 0 {
 		return 0
 	}
-	return float64(c.req.Waited) / float64(c.req.Useful)
+	return float64(c.req.Waited) / float64(c.req.FirstTarget)
 }
 
 // weight is the length in tokens by which a prompt is queued. A prompt larger than an
@@ -62,7 +62,7 @@
 }
 
 func (c *chooser) late() bool {
-	return c.req.Useful > 0 && c.req.Waited > lateAfter(c.engine, c.req.Prompt, c.req.Useful)
+	return c.req.FirstTarget > 0 && c.req.Waited > lateAfter(c.engine, c.req.Prompt, c.req.FirstTarget)
 }
 
 // minAnswerShare is the assumed minimum length of an answer as a share of the usual
@@ -74,12 +74,12 @@
 // one decodes it. Clients that reconnect come back with what is left of their time; the
 // prefill of their prompts would delay all others for nothing.
 func (c *chooser) cannotFinish() bool {
-	if c.req.Left <= 0 || c.req.Patience <= 0 || !c.deep() {
+	if c.req.TimeLeft <= 0 || c.req.MaxHold <= 0 || !c.deep() {
 		return false
 	}
-	soloPass := Pass(c.engine, Load{Calls: 1, HeldTokens: c.req.Prompt / (maxHelpers + 1)})
+	soloPass := PassTime(c.engine, Load{Calls: 1, HeldTokens: c.req.Prompt / (maxHelpers + 1)})
 	passes := minAnswerShare * float64(c.req.Answer) / float64(max(1, c.engine.Stride))
-	return c.partPrefill(maxHelpers)+time.Duration(passes*float64(soloPass)) > c.req.Left
+	return c.partPrefill(maxHelpers)+time.Duration(passes*float64(soloPass)) > c.req.TimeLeft
 }
 
 // Bounds of the time for which a request is held, in targets for the first event and
@@ -90,8 +90,8 @@
 	maxHoldShare   = 0.6
 )
 
-// Patience is how long a request may be held back whose first event is due within first
+// MaxHold is how long a request may be held back whose first event is due within first
 // and whose client waits for limit.
-func Patience(first, limit time.Duration) time.Duration {
+func MaxHold(first, limit time.Duration) time.Duration {
 	return min(maxHoldTargets*first, time.Duration(maxHoldShare*float64(limit)))
 }
--- a/decide/spread/hold_test.go
+++ b/decide/spread/hold_test.go
@@ -13,7 +13,7 @@
 // of 69 engines of which most are idle. Two other prompts, prefilled by 17 engines each,
 // raised the mean over all engines to 123 ms, above the limit of 102 ms for that length.
 var _ = Describe("a large prompt on a large fleet", func() {
-	request := spread.Request{Prompt: 300_000, Answer: 1600, Useful: 4 * time.Second, Pause: time.Second, Patience: 9 * time.Second}
+	request := spread.Request{Prompt: 300_000, Answer: 1600, FirstTarget: 4 * time.Second, GapTarget: time.Second, MaxHold: 9 * time.Second}
 
 	busy := func(fleet, engines int) *fleet {
 		f := newFleet(fleet)
--- a/decide/spread/place_bench_test.go
+++ b/decide/spread/place_bench_test.go
@@ -17,7 +17,7 @@
 		f.ledger.Add(s.ID, spread.Load{Calls: int64(i % 13), HeldTokens: int64(i%13) * 6000, Prefill: time.Duration(i%7) * 10 * time.Millisecond})
 	}
 	r := spread.Request{
-		Fleet: 60, Prompt: 150_000, Answer: 800, Useful: 3 * time.Second, Patience: 9 * time.Second, Pause: time.Second, Tightest: 250 * time.Millisecond,
+		FleetSize: 60, Prompt: 150_000, Answer: 800, FirstTarget: 3 * time.Second, MaxHold: 9 * time.Second, GapTarget: time.Second, TightestGap: 250 * time.Millisecond,
 	}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -38,7 +38,7 @@
 				f.ledger.Add(s.ID, spread.Load{Calls: int64(i % 13), HeldTokens: int64(i%13) * 6000, Prefill: time.Duration(i%7) * 10 * time.Millisecond})
 			}
 			r := spread.Request{
-				Fleet: n, Prompt: kind.prompt, Answer: 800, Useful: 3 * time.Second, Patience: 9 * time.Second, Pause: time.Second, Tightest: 250 * time.Millisecond,
+				FleetSize: n, Prompt: kind.prompt, Answer: 800, FirstTarget: 3 * time.Second, MaxHold: 9 * time.Second, GapTarget: time.Second, TightestGap: 250 * time.Millisecond,
 			}
 			b.Run(fmt.Sprintf("%s-%d", kind.name, n), func(b *testing.B) {
 				b.ReportAllocs()
--- a/decide/spread/plan.go
+++ b/decide/spread/plan.go
@@ -41,37 +41,37 @@
 // Request describes the request to place.
 type Request struct {
 	Prompt, Answer int64
-	// Fleet is the number of servers of the service, including those out of rotation.
-	Fleet int
+	// FleetSize is the number of servers of the service, including those out of rotation.
+	FleetSize int
 	// Avoid are servers that already failed this request.
 	Avoid []string
 	// Instance is the name of the instance that places the request.
 	Instance string
 	// DataCentre is preferred among servers with equal load.
 	DataCentre string
-	// Alone places a short prompt on a single engine, because helpers rejected the request
+	// NoHelpers places a short prompt on a single engine, because helpers rejected the request
 	// before.
-	Alone bool
-	// Useful is the target for the time to the first event; zero if there is none.
-	Useful time.Duration
-	// Pause is the longest acceptable gap between events of the request's own answer,
-	// Tightest the shortest such limit of any route of the service; zero if none is known.
-	Pause, Tightest time.Duration
-	// Left is the time until the caller gives up on the whole answer; zero if it is not
+	NoHelpers bool
+	// FirstTarget is the target for the time to the first event; zero if there is none.
+	FirstTarget time.Duration
+	// GapTarget is the longest acceptable gap between events of the request's own answer,
+	// TightestGap the shortest such limit of any route of the service; zero if none is known.
+	GapTarget, TightestGap time.Duration
+	// TimeLeft is the time until the caller gives up on the whole answer; zero if it is not
 	// known.
-	Left time.Duration
-	// Waited is how long the request has been held back, Patience how long it may be; with
+	TimeLeft time.Duration
+	// Waited is how long the request has been held back, MaxHold how long it may be; with
 	// zero it is sent at once.
-	Waited, Patience time.Duration
-	// Rivals is the number of requests at all instances that wait for a free slot; Draw is
+	Waited, MaxHold time.Duration
+	// SlotWaiters is the number of requests at all instances that wait for a free slot; Draw is
 	// drawn uniformly from [0, 1) for each placing.
-	Rivals int
-	Draw   float64
-	// Behind reports that another held prompt precedes this one.
-	Behind bool
-	// Random rotates the order of servers. It is set while the loads of other instances
+	SlotWaiters int
+	Draw        float64
+	// MustWait reports that another held prompt precedes this one.
+	MustWait bool
+	// Rotation rotates the order of servers. It is set while the loads of other instances
 	// are not known, so that such instances do not all choose the same servers.
-	Random int
+	Rotation int
 }
 
 // Part is the work of one server in a plan.
@@ -95,13 +95,13 @@
 	FirstEvent time.Duration
 	// Backlog is the mean prefill pending on the engines and MostRoom the most free memory
 	// of any engine in tokens, set where a request was not placed because of them.
-	Backlog  time.Duration
-	MostRoom int64
+	Backlog       time.Duration
+	MaxFreeMemory int64
 	// Reason is why a request was not placed.
 	Reason Reason
-	// Waiting reports that the call will queue: the server already has as many as it has
+	// Queued reports that the call will queue: the server already has as many as it has
 	// slots.
-	Waiting bool
+	Queued bool
 }
 
 // Writer returns the server that decodes the answer.
@@ -129,8 +129,8 @@
 	Placed Verdict = iota
 	// NoServer: the service has no server that may get the request.
 	NoServer
-	// NoRoom: the servers are too busy at present.
-	NoRoom
+	// Overloaded: the servers are too busy at present.
+	Overloaded
 	// Hold: the caller must hold the request back and try again shortly.
 	Hold
 	// TooLarge: the prompt exceeds the memory of all engines together.
@@ -140,9 +140,9 @@
 // Choose places a request of a model service.
 func Choose(e *route.Engine, servers []backends.Server, load func(string) Load, r Request) (Plan, Verdict) {
 	c := chooser{engine: e, load: load, req: r}
-	servers = rotate(exclude(servers, r.Avoid), r.Random)
+	servers = rotate(exclude(servers, r.Avoid), r.Rotation)
 	if c.cannotFinish() {
-		return Plan{Backlog: UnconfirmedPrefill(servers, load), Reason: ForTime}, NoRoom
+		return Plan{Backlog: UnconfirmedPrefill(servers, load), Reason: ForTime}, Overloaded
 	}
 	if backlog, reason := c.holdReason(servers); reason != NoReason {
 		return Plan{Backlog: backlog, Reason: reason}, Hold
@@ -159,7 +159,7 @@
 		return c.plan(writer, c.shortHelpers(writer)), Placed
 	}
 	g := c.cheapestGroup(servers, writer)
-	if c.deep() && c.req.Waited < c.req.Patience && c.harmExceedsValue(g) {
+	if c.deep() && c.req.Waited < c.req.MaxHold && c.harmExceedsValue(g) {
 		return Plan{Backlog: UnconfirmedPrefill(servers, load), Reason: ForHarm}, Hold
 	}
 	return c.plan(writer, g.helpers), Placed
@@ -179,8 +179,8 @@
 			cmp.Compare(a.ID, b.ID))
 	})
 	return Plan{
-		Parts:   []Part{{Server: best, Load: Load{Calls: 1}}},
-		Waiting: best.Slots > 0 && load(best.ID).Calls >= int64(best.Slots),
+		Parts:  []Part{{Server: best, Load: Load{Calls: 1}}},
+		Queued: best.Slots > 0 && load(best.ID).Calls >= int64(best.Slots),
 	}, Placed
 }
 
@@ -219,7 +219,7 @@
 	if c.deep() {
 		first.Load.DeepCalls = 1
 	}
-	p := Plan{Parts: []Part{first}, Waiting: c.load(writer.ID).Calls >= int64(c.engine.Slots)}
+	p := Plan{Parts: []Part{first}, Queued: c.load(writer.ID).Calls >= int64(c.engine.Slots)}
 	for _, h := range helpers {
 		p.Parts = append(p.Parts, Part{Server: h, Load: Load{Prefill: each, UnconfirmedPrefill: each, Parts: 1}})
 	}
@@ -237,14 +237,14 @@
 	l := c.load(s.ID)
 	d := l.Prefill + each
 	if l.Calls > 0 {
-		d += Pass(c.engine, l)
+		d += PassTime(c.engine, l)
 	}
 	return d
 }
 
-// Pass is the time that an engine needs for the token steps of one pass, without the
+// PassTime is the time that an engine needs for the token steps of one pass, without the
 // prefill that runs in the same pass.
-func Pass(e *route.Engine, l Load) time.Duration {
+func PassTime(e *route.Engine, l Load) time.Duration {
 	if e == nil {
 		return 0
 	}
--- a/decide/spread/reason.go
+++ b/decide/spread/reason.go
@@ -19,8 +19,8 @@
 	ForHarm
 	// ForTime: its answer can no longer come in time.
 	ForTime
-	// Reasons is the number of reasons.
-	Reasons
+	// NumReasons is the number of reasons.
+	NumReasons
 )
 
 var reasonNames = [...]string{"none", "turn", "reading", "slot", "memory", "harm", "time"}
--- a/decide/spread/slots.go
+++ b/decide/spread/slots.go
@@ -18,7 +18,7 @@
 // request therefore takes a slot only with a probability by which about one request takes
 // each.
 func (c *chooser) checkSlots(servers []backends.Server) Verdict {
-	if len(servers) == 0 || c.deep() || c.req.Patience <= 0 || c.engine.Slots <= 0 {
+	if len(servers) == 0 || c.deep() || c.req.MaxHold <= 0 || c.engine.Slots <= 0 {
 		return Placed
 	}
 	need := int64(1)
@@ -31,11 +31,11 @@
 			free += max(0, int64(c.engine.Slots)-c.load(s.ID).Calls)
 		}
 	}
-	if free >= need && c.req.Draw*float64(c.req.Rivals) < float64(free) {
+	if free >= need && c.req.Draw*float64(c.req.SlotWaiters) < float64(free) {
 		return Placed
 	}
-	if c.req.Waited >= c.req.Patience {
-		return NoRoom
+	if c.req.Waited >= c.req.MaxHold {
+		return Overloaded
 	}
 	return Hold
 }
@@ -43,6 +43,6 @@
 // wouldBeLate reports whether the first event would be late from an engine with the load
 // of the given one: it comes at the end of the pass that prefills the prompt.
 func (c *chooser) wouldBeLate(s backends.Server) bool {
-	took := Pass(c.engine, c.load(s.ID)) + PrefillTime(c.engine, c.req.Prompt)
-	return c.req.Useful > 0 && c.req.Waited+took > c.req.Useful
+	took := PassTime(c.engine, c.load(s.ID)) + PrefillTime(c.engine, c.req.Prompt)
+	return c.req.FirstTarget > 0 && c.req.Waited+took > c.req.FirstTarget
 }
--- a/decide/spread/slots_test.go
+++ b/decide/spread/slots_test.go
@@ -13,7 +13,7 @@
 // engines: there are more answers than slots, and in an engine's queue each request waits
 // behind those that are already late.
 var _ = Describe("requests that find no free slot", func() {
-	short := spread.Request{Prompt: 5000, Answer: 1600, Useful: 300 * time.Millisecond, Patience: 900 * time.Millisecond}
+	short := spread.Request{Prompt: 5000, Answer: 1600, FirstTarget: 300 * time.Millisecond, MaxHold: 900 * time.Millisecond}
 	// withFree returns a fleet of eight engines with that many free slots in all.
 	withFree := func(free int64) *fleet {
 		f := newFleet(8)
@@ -28,14 +28,14 @@
 	}
 	verdictAfter := func(f *fleet, waited time.Duration, rivals int, draw float64) spread.Verdict {
 		r := short
-		r.Waited, r.Rivals, r.Draw = waited, rivals, draw
+		r.Waited, r.SlotWaiters, r.Draw = waited, rivals, draw
 		_, v := f.place(r)
 		return v
 	}
 
 	It("wait, and are refused at the hold limit", func() {
 		Expect(verdictAfter(withFree(0), 0, 0, 0)).To(Equal(spread.Hold))
-		Expect(verdictAfter(withFree(0), short.Patience, 0, 0)).To(Equal(spread.NoRoom))
+		Expect(verdictAfter(withFree(0), short.MaxHold, 0, 0)).To(Equal(spread.Overloaded))
 	})
 
 	It("take the engine with a free slot", func() {
@@ -69,14 +69,14 @@
 		fast := *engine
 		fast.ReadPerSecond, fast.PairsPerMillion, fast.Memory = 1e6, 0, 100_000
 		f := newFleet(4)
-		p, v := spread.Choose(&fast, f.servers, f.ledger.Total, spread.Request{Fleet: 4, Prompt: 150_000, Answer: 100, Useful: 300 * time.Millisecond, Patience: 900 * time.Millisecond})
+		p, v := spread.Choose(&fast, f.servers, f.ledger.Total, spread.Request{FleetSize: 4, Prompt: 150_000, Answer: 100, FirstTarget: 300 * time.Millisecond, MaxHold: 900 * time.Millisecond})
 		Expect(v).To(Equal(spread.Placed))
 		Expect(p.Helpers()).NotTo(BeEmpty())
 	})
 
 	It("are placed at once if they may not be held", func() {
 		r := short
-		r.Patience = 0
+		r.MaxHold = 0
 		_, v := withFree(0).place(r)
 		Expect(v).To(Equal(spread.Placed))
 	})
--- a/decide/spread/spread_test.go
+++ b/decide/spread/spread_test.go
@@ -38,7 +38,7 @@
 func newFleet(n int) *fleet { return &fleet{servers: servers(n), ledger: spread.NewLedger()} }
 
 func (f *fleet) place(r spread.Request) (spread.Plan, spread.Verdict) {
-	r.Fleet = len(f.servers)
+	r.FleetSize = len(f.servers)
 	p, v := spread.Choose(engine, f.servers, f.ledger.Total, r)
 	if v == spread.Placed {
 		for _, part := range p.Parts {
@@ -182,13 +182,13 @@
 		for _, s := range f.servers {
 			f.ledger.Add(s.ID, spread.Load{Prefill: 200 * time.Millisecond, UnconfirmedPrefill: 200 * time.Millisecond})
 		}
-		r := spread.Request{Prompt: 700_000, Answer: 1000, Patience: 9 * time.Second, Useful: 3 * time.Second}
+		r := spread.Request{Prompt: 700_000, Answer: 1000, MaxHold: 9 * time.Second, FirstTarget: 3 * time.Second}
 		_, v := f.place(r)
 		Expect(v).To(Equal(spread.Hold))
 		// Its prefill on 17 engines takes 2.9 s.
 		r.Waited = 200 * time.Millisecond
 		_, v = f.place(r)
-		Expect(v).To(Equal(spread.NoRoom))
+		Expect(v).To(Equal(spread.Overloaded))
 		_, v = f.place(spread.Request{Prompt: 10_000_000, Answer: 1000})
 		Expect(v).To(Equal(spread.TooLarge))
 	})
@@ -214,7 +214,7 @@
 	It("spreads the requests of instances that do not know each other's load", func() {
 		writers := map[string]bool{}
 		for i := range 12 {
-			writers[must(newFleet(21).place(spread.Request{Prompt: 500, Answer: 10, Random: i + 1})).Writer().ID] = true
+			writers[must(newFleet(21).place(spread.Request{Prompt: 500, Answer: 10, Rotation: i + 1})).Writer().ID] = true
 		}
 		Expect(len(writers)).To(BeNumerically(">=", 6))
 	})
@@ -319,7 +319,7 @@
 var _ = Describe("holding deep prompts back", func() {
 	const patience = 9 * time.Second
 	deep := func(f *fleet, tokens int64, waited time.Duration) spread.Verdict {
-		_, v := f.place(spread.Request{Prompt: tokens, Answer: 800, Waited: waited, Patience: patience})
+		_, v := f.place(spread.Request{Prompt: tokens, Answer: 800, Waited: waited, MaxHold: patience})
 		return v
 	}
 	busy := func() *fleet {
@@ -346,7 +346,7 @@
 
 	It("does not apply to short prompts", func() {
 		f := busy()
-		p, v := f.place(spread.Request{Prompt: 5000, Answer: 1600, Patience: patience})
+		p, v := f.place(spread.Request{Prompt: 5000, Answer: 1600, MaxHold: patience})
 		Expect(v).To(Equal(spread.Placed))
 		Expect(p.Parts).NotTo(BeEmpty())
 	})
@@ -374,9 +374,9 @@
 	})
 
 	It("is shorter than the client's timeout", func() {
-		Expect(spread.Patience(3*time.Second, 15*time.Second)).To(Equal(9 * time.Second))
-		Expect(spread.Patience(300*time.Millisecond, 10*time.Second)).To(Equal(900 * time.Millisecond))
-		Expect(spread.Patience(4*time.Second, 10*time.Second)).To(Equal(6 * time.Second))
+		Expect(spread.MaxHold(3*time.Second, 15*time.Second)).To(Equal(9 * time.Second))
+		Expect(spread.MaxHold(300*time.Millisecond, 10*time.Second)).To(Equal(900 * time.Millisecond))
+		Expect(spread.MaxHold(4*time.Second, 10*time.Second)).To(Equal(6 * time.Second))
 	})
 })
 
@@ -389,7 +389,7 @@
 	const tokens = 400_000
 
 	It("are placed on idle engines", func() {
-		_, v := newFleet(21).place(spread.Request{Prompt: tokens, Answer: 800, Useful: 3 * time.Second})
+		_, v := newFleet(21).place(spread.Request{Prompt: tokens, Answer: 800, FirstTarget: 3 * time.Second})
 		Expect(v).To(Equal(spread.Placed))
 	})
 
@@ -400,13 +400,13 @@
 		for _, s := range f.servers {
 			f.ledger.Add(s.ID, spread.Load{Calls: 14, HeldTokens: 14 * 8000})
 		}
-		r := spread.Request{Prompt: tokens, Answer: 800, Patience: 9 * time.Second, Useful: 3 * time.Second, Pause: time.Second, Tightest: 200 * time.Millisecond}
+		r := spread.Request{Prompt: tokens, Answer: 800, MaxHold: 9 * time.Second, FirstTarget: 3 * time.Second, GapTarget: time.Second, TightestGap: 200 * time.Millisecond}
 		_, v := f.place(r)
 		Expect(v).To(Equal(spread.Hold))
 		// Its prefill on 17 engines takes a second, so it would be late from here on.
 		r.Waited = 2500 * time.Millisecond
 		_, v = f.place(r)
-		Expect(v).To(Equal(spread.NoRoom))
+		Expect(v).To(Equal(spread.Overloaded))
 	})
 
 	// Guards against rejecting a prompt for good, so that its client does not retry: the
@@ -415,7 +415,7 @@
 		f := newFleet(3)
 		avoid := []string{f.servers[0].ID, f.servers[1].ID}
 		_, v := f.place(spread.Request{Prompt: tokens, Answer: 800, Avoid: avoid})
-		Expect(v).To(Equal(spread.NoRoom))
+		Expect(v).To(Equal(spread.Overloaded))
 		_, v = f.place(spread.Request{Prompt: 1_000_000, Answer: 800})
 		Expect(v).To(Equal(spread.TooLarge))
 		_, v = newFleet(21).place(spread.Request{Prompt: 6_000_000, Answer: 800})
@@ -423,8 +423,8 @@
 	})
 
 	It("are rejected when they would be late themselves", func() {
-		_, v := newFleet(21).place(spread.Request{Prompt: tokens, Answer: 800, Useful: 100 * time.Millisecond})
-		Expect(v).To(Equal(spread.NoRoom))
+		_, v := newFleet(21).place(spread.Request{Prompt: tokens, Answer: 800, FirstTarget: 100 * time.Millisecond})
+		Expect(v).To(Equal(spread.Overloaded))
 	})
 })
 
--- a/decide/spread/turn_test.go
+++ b/decide/spread/turn_test.go
@@ -96,10 +96,10 @@
 
 	It("are placed only when no other goes first, or at the hold limit", func() {
 		f := newFleet(21)
-		r := spread.Request{Prompt: 200_000, Answer: 800, Behind: true, Patience: 9 * time.Second}
+		r := spread.Request{Prompt: 200_000, Answer: 800, MustWait: true, MaxHold: 9 * time.Second}
 		_, v := f.place(r)
 		Expect(v).To(Equal(spread.Hold))
-		r.Waited = r.Patience
+		r.Waited = r.MaxHold
 		_, v = f.place(r)
 		Expect(v).To(Equal(spread.Placed))
 	})
--- a/decide/spread/writer.go
+++ b/decide/spread/writer.go
@@ -32,7 +32,7 @@
 // fitsInTime reports whether an engine would also bring the first event in time. Deep
 // prompts are exempt.
 func (c *chooser) fitsInTime(s backends.Server) bool {
-	return c.fitsWithSlot(s) && (c.req.Useful <= 0 || c.deep() || c.req.Waited+c.predictPrefillEnd(s, c.writerPrefill()) <= c.req.Useful)
+	return c.fitsWithSlot(s) && (c.req.FirstTarget <= 0 || c.deep() || c.req.Waited+c.predictPrefillEnd(s, c.writerPrefill()) <= c.req.FirstTarget)
 }
 
 // writerPrefill is the prefill time on the writer: all of a short prompt, the smallest
--- a/lab/passes/instance.go
+++ b/lab/passes/instance.go
@@ -88,11 +88,11 @@
 	turn := spread.TurnOf(n.spec, q.id, q.prompt, q.came, useful)
 	left := q.kind.Deadline.Std() - (n.Now() - q.arrived)
 	plan, verdict := spread.Choose(n.spec, n.servers, n.ledger.Total, spread.Request{
-		Instance: n.name, Fleet: len(n.servers), Avoid: q.avoid,
+		Instance: n.name, FleetSize: len(n.servers), Avoid: q.avoid,
 		Prompt: q.prompt, Answer: n.spec.UsualAnswer,
-		Useful: useful, Pause: q.kind.Pause.Std(), Tightest: n.tightest,
-		Waited: waited, Patience: spread.Patience(useful, left+waited), Left: left,
-		Behind: n.queue.Behind(n.Now(), turn), Rivals: n.queue.Rivals(n.Now()), Draw: n.rand.Float64(),
+		FirstTarget: useful, GapTarget: q.kind.Pause.Std(), TightestGap: n.tightest,
+		Waited: waited, MaxHold: spread.MaxHold(useful, left+waited), TimeLeft: left,
+		MustWait: n.queue.Behind(n.Now(), turn), SlotWaiters: n.queue.Rivals(n.Now()), Draw: n.rand.Float64(),
 	})
 	n.hold(q, turn, verdict == spread.Hold)
 	switch verdict {
--- a/lab/passes/result.go
+++ b/lab/passes/result.go
@@ -190,7 +190,7 @@
 // refusedAfter renders RefusedAfter.
 func (r Result) refusedAfter() string {
 	var out []string
-	for why := range spread.Reasons {
+	for why := range spread.NumReasons {
 		if n := r.RefusedAfter[why]; n > 0 {
 			out = append(out, fmt.Sprintf("%s %d", why, n))
 		}
--- a/serve/relay/exchange.go
+++ b/serve/relay/exchange.go
@@ -224,9 +224,9 @@
 	switch v {
 	case spread.TooLarge:
 		return result.New(result.TooLongForFleet, "all engines together lack the memory for this prompt")
-	case spread.NoRoom:
+	case spread.Overloaded:
 		return result.New(result.Overloaded, "the engines are too busy for this prompt (%s): mean prefill backlog %s, room for %d tokens on the emptiest",
-			p.Reason, p.Backlog.Round(time.Millisecond), p.MostRoom).WithRetryAfter(retryAfterNoRoom)
+			p.Reason, p.Backlog.Round(time.Millisecond), p.MaxFreeMemory).WithRetryAfter(retryAfterNoRoom)
 	default:
 		return result.New(result.NoBackend, "no backend server is ready").WithRetryAfter(retryAfterNoBackend)
 	}
@@ -248,10 +248,10 @@
 	r := x.relay
 	servers, total := r.candidates(x.service, allCells)
 	req := spread.Request{
-		Instance: r.name, DataCentre: r.dataCentre, Fleet: total, Avoid: x.avoid, Alone: x.state.Sent() > 0 || x.suspect,
+		Instance: r.name, DataCentre: r.dataCentre, FleetSize: total, Avoid: x.avoid, NoHelpers: x.state.Sent() > 0 || x.suspect,
 		Prompt: x.req.PromptTokens, Answer: x.answerTokens(),
-		Useful: x.route.FirstTarget, Pause: x.route.GapTarget, Tightest: x.service.TightestPause,
-		Waited: x.heldFor, Patience: maxHold, Left: x.remaining(),
+		FirstTarget: x.route.FirstTarget, GapTarget: x.route.GapTarget, TightestGap: x.service.TightestPause,
+		Waited: x.heldFor, MaxHold: maxHold, TimeLeft: x.remaining(),
 	}
 	if x.service.Engine == nil {
 		return r.loads.Place(func(load func(string) spread.Load, _ *spread.Queue) (spread.Plan, spread.Verdict) {
@@ -261,11 +261,11 @@
 	r.observeBacklog(x.service.Name, servers)
 	req.Draw = rand.Float64()
 	if r.loads.Blind() {
-		req.Random = 1 + rand.IntN(maxRandomOffset)
+		req.Rotation = 1 + rand.IntN(maxRandomOffset)
 	}
 	return r.loads.Place(func(load func(string) spread.Load, held *spread.Queue) (spread.Plan, spread.Verdict) {
-		req.Behind = x.isDeep() && held.Behind(r.now(), x.turn())
-		req.Rivals = held.Rivals(r.now())
+		req.MustWait = x.isDeep() && held.Behind(r.now(), x.turn())
+		req.SlotWaiters = held.Rivals(r.now())
 		return spread.Choose(x.service.Engine, x.isolateSuspect(servers, load), load, req)
 	})
 }
--- a/serve/relay/hold.go
+++ b/serve/relay/hold.go
@@ -39,7 +39,7 @@
 	if x.isDeep() {
 		defer r.heldDeep.Add(-1)
 		if r.heldDeep.Add(1) > maxHeldDeep {
-			return plan, spread.NoRoom
+			return plan, spread.Overloaded
 		}
 	}
 	defer x.joinQueue()()
@@ -71,7 +71,7 @@
 	if x.state.Sent() > 0 || x.relay.members.Leaving() {
 		return 0
 	}
-	return spread.Patience(x.route.FirstTarget, x.timeLimit)
+	return spread.MaxHold(x.route.FirstTarget, x.timeLimit)
 }
 
 // joinQueue makes the held request visible to other instances until the returned
--- a/serve/relay/log.go
+++ b/serve/relay/log.go
@@ -14,9 +14,9 @@
 	x.relay.count("answers_total", "kind", x.route.Kind.String())
 	x.relay.scope.Tagged(map[string]string{"kind": x.route.Kind.String()}).Histogram("first_seconds", buckets.Durations).RecordDuration(x.firstLatency)
 	x.log("answered", zap.String("server", plan.Writer().ID), zap.Int("helpers", len(plan.Helpers())),
-		zap.Duration("predicted", plan.FirstEvent), zap.Duration("first", x.firstLatency), zap.Duration("longest_gap", x.longestGap), zap.Bool("waiting", plan.Waiting),
+		zap.Duration("predicted", plan.FirstEvent), zap.Duration("first", x.firstLatency), zap.Duration("longest_gap", x.longestGap), zap.Bool("waiting", plan.Queued),
 		zap.Duration("first_target", x.route.FirstTarget), zap.Duration("gap_target", x.route.GapTarget),
-		zap.Duration("gap_read", x.gapLoad.UnconfirmedPrefill), zap.Duration("gap_pass", spread.Pass(x.service.Engine, x.gapLoad)))
+		zap.Duration("gap_read", x.gapLoad.UnconfirmedPrefill), zap.Duration("gap_pass", spread.PassTime(x.service.Engine, x.gapLoad)))
 }
 
 // logPlaced logs the servers of an attempt and what the choice was based on.
@@ -24,7 +24,7 @@
 	snap := x.relay.catalog.Servers()
 	x.relay.log.Info("placed", zap.String("request", x.req.ID), zap.String("route", x.route.Name), zap.Uint64("version", x.version),
 		zap.String("customer", x.customer), zap.Int64("prompt", x.req.PromptTokens), zap.String("server", plan.Writer().ID),
-		zap.Strings("helpers", serverIDs(plan)[1:]), zap.Duration("predicted", plan.FirstEvent), zap.Bool("waiting", plan.Waiting),
+		zap.Strings("helpers", serverIDs(plan)[1:]), zap.Duration("predicted", plan.FirstEvent), zap.Bool("waiting", plan.Queued),
 		zap.Duration("held", x.heldFor), zap.Stringer("servers_at", snap.At), zap.Duration("servers_age", x.relay.catalog.Age()), zap.Duration("left", x.remaining()))
 }
 
--- a/serve/relay/timeout.go
+++ b/serve/relay/timeout.go
@@ -21,7 +21,7 @@
 		return time.Duration(wholeAnswerFactor * float64(x.route.FirstTarget))
 	}
 	d := max(minFirstEventTimeout, time.Duration(firstEventFactor*float64(x.route.FirstTarget))) + 2*plan.FirstEvent
-	if plan.Waiting {
+	if plan.Queued {
 		d += slotWaitTimeout
 	}
 	return d
