--- a/control/loads/loads.go
+++ b/control/loads/loads.go
@@ -169,7 +169,7 @@
 
 // Leave ends what Hold noted.
 func (l *Loads) Leave(request string) {
-	l.onQueue(func(q *spread.Queue) { q.Leave(request) })
+	l.onQueue(func(q *spread.Queue) { q.Release(request) })
 }
 
 // WaitForSlot adds n to the requests that wait here for a free slot.
@@ -294,12 +294,12 @@
 	l.last, l.lastAt = latest, now
 	l.reported++
 	sequence := l.reported
-	waiting := l.queue.Tell(now)
+	waiting := l.queue.TakeState(now)
 	turnedAway := l.away.Tell(now)
 	mates := l.cell.Mates
 	l.mu.Unlock()
 	msg := &peerpb.LoadReport{Complete: complete, Sequence: sequence, ForSlot: int32(waiting.ForSlot)}
-	if waiting.Held {
+	if waiting.HasFirst {
 		msg.Held = heldPrompt(now, waiting.First)
 	}
 	encodeWork(msg, changed)
@@ -357,7 +357,7 @@
 	}
 	l.newest[from] = id
 	l.ledger.ApplyReport(l.now(), from, r.Complete, work)
-	l.queue.Report(l.now(), from, waitingOf(l.now(), r))
+	l.queue.ApplyReport(l.now(), from, waitingOf(l.now(), r))
 	for server, left := range turnedAway {
 		l.away.Told(l.now(), server, left)
 	}
@@ -370,16 +370,16 @@
 // common clock.
 func heldPrompt(now time.Duration, t spread.Turn) *peerpb.HeldPrompt {
 	return &peerpb.HeldPrompt{
-		Request: t.Request, Weight: t.Weight, WaitedUs: (now - t.Since).Microseconds(),
-		UsefulUs: t.Useful.Microseconds(), LateAfterUs: t.LateAfter.Microseconds(),
+		Request: t.Request, Weight: t.Weight, WaitedUs: (now - t.Arrived).Microseconds(),
+		UsefulUs: t.FirstTarget.Microseconds(), LateAfterUs: t.LateAfter.Microseconds(),
 	}
 }
 
 func waitingOf(now time.Duration, r *peerpb.LoadReport) spread.Waiting {
 	w := spread.Waiting{ForSlot: int(r.ForSlot)}
 	if h := r.Held; h != nil {
-		w.First, w.Held = spread.Turn{
-			Request: h.Request, Weight: h.Weight, Since: now - peerpb.Micros(h.WaitedUs), Useful: peerpb.Micros(h.UsefulUs), LateAfter: peerpb.Micros(h.LateAfterUs),
+		w.First, w.HasFirst = spread.Turn{
+			Request: h.Request, Weight: h.Weight, Arrived: now - peerpb.Micros(h.WaitedUs), FirstTarget: peerpb.Micros(h.UsefulUs), LateAfter: peerpb.Micros(h.LateAfterUs),
 		}, true
 	}
 	return w
@@ -404,7 +404,7 @@
 	l.cell, l.mates = next, mates
 	l.members.SetNeighbours(neighboursOf(l.link.Self(), next, live))
 	l.ledger.RetainPeers(mates)
-	l.queue.Keep(mates)
+	l.queue.RetainPeers(mates)
 	for peer := range l.heard {
 		if !mates[peer] {
 			delete(l.heard, peer)
--- a/decide/spread/turn.go
+++ b/decide/spread/turn.go
@@ -16,11 +16,11 @@
 	Request string
 	// Weight is the length in tokens by which the prompt is queued.
 	Weight int64
-	// Since is when the prompt arrived, by the clock of the instance that compares.
-	Since time.Duration
-	// Useful is the target for the time to the first event, LateAfter the wait after which
+	// Arrived is when the prompt arrived, by the clock of the instance that compares.
+	Arrived time.Duration
+	// FirstTarget is the target for the time to the first event, LateAfter the wait after which
 	// it can no longer be met; both are zero if there is no target.
-	Useful, LateAfter time.Duration
+	FirstTarget, LateAfter time.Duration
 }
 
 // ageingFactor ranks a prompt that has waited for its whole target like one of a sixth of
@@ -28,10 +28,10 @@
 // always has a shorter one. By arrival alone all prompts of a burst would be late.
 const ageingFactor = 5
 
-// TurnOf returns the turn of a prompt that arrived at since and whose first event is due
+// NewTurn returns the turn of a prompt that arrived at since and whose first event is due
 // within useful.
-func TurnOf(e *route.Engine, request string, prompt int64, since, useful time.Duration) Turn {
-	t := Turn{Request: request, Weight: weight(e, prompt), Since: since, Useful: useful}
+func NewTurn(e *route.Engine, request string, prompt int64, since, useful time.Duration) Turn {
+	t := Turn{Request: request, Weight: weight(e, prompt), Arrived: since, FirstTarget: useful}
 	if useful > 0 {
 		t.LateAfter = lateAfter(e, prompt, useful)
 	}
@@ -40,15 +40,15 @@
 
 // late reports whether the first event can no longer come in time.
 func (t Turn) late(now time.Duration) bool {
-	return t.Useful > 0 && now-t.Since > t.LateAfter
+	return t.FirstTarget > 0 && now-t.Arrived > t.LateAfter
 }
 
 // rank is the weight, reduced by ageing.
 func (t Turn) rank(now time.Duration) float64 {
-	if t.Useful <= 0 {
+	if t.FirstTarget <= 0 {
 		return float64(t.Weight)
 	}
-	return float64(t.Weight) / (1 + ageingFactor*float64(now-t.Since)/float64(t.Useful))
+	return float64(t.Weight) / (1 + ageingFactor*float64(now-t.Arrived)/float64(t.FirstTarget))
 }
 
 // precedes reports whether t goes before o. A prompt that can still be in time goes first,
@@ -61,18 +61,18 @@
 	return cmp.Or(cmp.Compare(t.rank(now), o.rank(now)), cmp.Compare(t.Request, o.Request)) < 0
 }
 
-// TurnBelieved is how long a peer's report of its first prompt counts; a peer that
+// TurnTTL is how long a peer's report of its first prompt counts; a peer that
 // hung would otherwise block all others. Peers repeat the report every turnRefresh.
 const (
-	TurnBelieved = 600 * time.Millisecond
-	turnRefresh  = 200 * time.Millisecond
+	TurnTTL     = 600 * time.Millisecond
+	turnRefresh = 200 * time.Millisecond
 )
 
 // Waiting is what an instance reports of the requests that it holds back.
 type Waiting struct {
 	// First is the first of the deep prompts; Held is false if there are none.
-	First Turn
-	Held  bool
+	First    Turn
+	HasFirst bool
 	// ForSlot is the number of requests that wait for a free slot.
 	ForSlot int
 }
@@ -105,19 +105,19 @@
 // Hold adds a prompt that this instance holds back.
 func (q *Queue) Hold(t Turn) { q.local[t.Request] = t }
 
-// Leave removes a prompt that Hold added.
-func (q *Queue) Leave(request string) { delete(q.local, request) }
+// Release removes a prompt that Hold added.
+func (q *Queue) Release(request string) { delete(q.local, request) }
 
 // WaitForSlot adds n, which may be negative, to the requests of this instance that wait
 // for a slot.
 func (q *Queue) WaitForSlot(n int) { q.forSlot += n }
 
-// Own returns what this instance holds back.
-func (q *Queue) Own(now time.Duration) Waiting {
+// LocalState returns what this instance holds back.
+func (q *Queue) LocalState(now time.Duration) Waiting {
 	w := Waiting{ForSlot: q.forSlot}
 	for _, t := range q.local {
-		if !w.Held || t.precedes(now, w.First) {
-			w.First, w.Held = t, true
+		if !w.HasFirst || t.precedes(now, w.First) {
+			w.First, w.HasFirst = t, true
 		}
 	}
 	return w
@@ -126,20 +126,20 @@
 // Update applies a change to what this instance holds back and reports whether peers must
 // be sent the state: when it changed, and periodically while something waits.
 func (q *Queue) Update(now time.Duration, change func(*Queue)) (tell bool) {
-	previous := q.Own(now)
+	previous := q.LocalState(now)
 	change(q)
-	w := q.Own(now)
+	w := q.LocalState(now)
 	return w != previous || w != (Waiting{}) && now-q.lastSent > turnRefresh
 }
 
-// Tell returns the state to send to peers, and takes it as sent.
-func (q *Queue) Tell(now time.Duration) Waiting {
+// TakeState returns the state to send to peers, and takes it as sent.
+func (q *Queue) TakeState(now time.Duration) Waiting {
 	q.lastSent = now
-	return q.Own(now)
+	return q.LocalState(now)
 }
 
-// Report records what a peer holds back.
-func (q *Queue) Report(now time.Duration, peer string, w Waiting) {
+// ApplyReport records what a peer holds back.
+func (q *Queue) ApplyReport(now time.Duration, peer string, w Waiting) {
 	if w == (Waiting{}) {
 		delete(q.peers, peer)
 		return
@@ -147,35 +147,35 @@
 	q.peers[peer] = peerWaiting{Waiting: w, receivedAt: now}
 }
 
-// Rivals counts the requests that wait for a free slot at all instances.
-func (q *Queue) Rivals(now time.Duration) int {
+// SlotWaiters counts the requests that wait for a free slot at all instances.
+func (q *Queue) SlotWaiters(now time.Duration) int {
 	sum := q.forSlot
 	for _, w := range q.peers {
-		if now-w.receivedAt <= TurnBelieved {
+		if now-w.receivedAt <= TurnTTL {
 			sum += w.ForSlot
 		}
 	}
 	return sum
 }
 
-// Keep drops the state of peers that are not live.
-func (q *Queue) Keep(live map[string]bool) {
+// RetainPeers drops the state of peers that are not live.
+func (q *Queue) RetainPeers(live map[string]bool) {
 	maps.DeleteFunc(q.peers, func(peer string, _ peerWaiting) bool { return !live[peer] })
 }
 
-// Behind reports whether another held prompt precedes t.
-func (q *Queue) Behind(now time.Duration, t Turn) bool {
+// MustWait reports whether another held prompt precedes t.
+func (q *Queue) MustWait(now time.Duration, t Turn) bool {
 	for _, o := range q.local {
 		if o.Request != t.Request && o.precedes(now, t) {
 			return true
 		}
 	}
 	for peer, o := range q.peers {
-		if now-o.receivedAt > TurnBelieved {
+		if now-o.receivedAt > TurnTTL {
 			delete(q.peers, peer)
 			continue
 		}
-		if o.Held && o.First.precedes(now, t) {
+		if o.HasFirst && o.First.precedes(now, t) {
 			return true
 		}
 	}
--- a/decide/spread/turn_test.go
+++ b/decide/spread/turn_test.go
@@ -18,59 +18,59 @@
 
 	// waitedTurn is the turn, at time zero, of a prompt that has waited for that long.
 	waitedTurn := func(id string, tokens int64, waited time.Duration) spread.Turn {
-		return spread.TurnOf(engine, id, tokens, -waited, 4*time.Second)
+		return spread.NewTurn(engine, id, tokens, -waited, 4*time.Second)
 	}
 
-	held := func(t spread.Turn) spread.Waiting { return spread.Waiting{First: t, Held: true} }
+	held := func(t spread.Turn) spread.Waiting { return spread.Waiting{First: t, HasFirst: true} }
 
 	It("go one at a time, the smaller first", func() {
 		a, b := spread.NewQueue(), spread.NewQueue()
 		a.Hold(turn("x", 200_000))
 		b.Hold(turn("y", 150_000))
-		a.Report(0, "b", b.Own(0))
-		b.Report(0, "a", a.Own(0))
-		Expect(a.Behind(0, turn("x", 200_000))).To(BeTrue())
-		Expect(b.Behind(0, turn("y", 150_000))).To(BeFalse())
-		b.Leave("y")
-		a.Report(0, "b", b.Own(0))
-		Expect(a.Behind(0, turn("x", 200_000))).To(BeFalse())
+		a.ApplyReport(0, "b", b.LocalState(0))
+		b.ApplyReport(0, "a", a.LocalState(0))
+		Expect(a.MustWait(0, turn("x", 200_000))).To(BeTrue())
+		Expect(b.MustWait(0, turn("y", 150_000))).To(BeFalse())
+		b.Release("y")
+		a.ApplyReport(0, "b", b.LocalState(0))
+		Expect(a.MustWait(0, turn("x", 200_000))).To(BeFalse())
 	})
 
 	It("have one order even if they are equally long", func() {
 		a := spread.NewQueue()
-		a.Report(0, "b", held(turn("y", 100_000)))
-		Expect(a.Behind(0, turn("x", 100_000))).To(BeFalse())
-		Expect(a.Behind(0, turn("z", 100_000))).To(BeTrue())
+		a.ApplyReport(0, "b", held(turn("y", 100_000)))
+		Expect(a.MustWait(0, turn("x", 100_000))).To(BeFalse())
+		Expect(a.MustWait(0, turn("z", 100_000))).To(BeTrue())
 	})
 
 	It("let those go first whose first event can still be in time", func() {
 		a := spread.NewQueue()
 		late := func(id string, tokens int64) spread.Turn {
-			return spread.Turn{Request: id, Weight: tokens, Since: -time.Second, Useful: time.Second, LateAfter: time.Second / 2}
+			return spread.Turn{Request: id, Weight: tokens, Arrived: -time.Second, FirstTarget: time.Second, LateAfter: time.Second / 2}
 		}
-		a.Report(0, "b", held(late("y", 100_000)))
-		Expect(a.Behind(0, turn("x", 300_000))).To(BeFalse())
-		Expect(a.Behind(0, late("x", 300_000))).To(BeTrue())
+		a.ApplyReport(0, "b", held(late("y", 100_000)))
+		Expect(a.MustWait(0, turn("x", 300_000))).To(BeFalse())
+		Expect(a.MustWait(0, late("x", 300_000))).To(BeTrue())
 	})
 
 	// Guards against refusing a prompt of 280,000 tokens after three seconds because at
 	// any moment one of 75 instances holds a smaller one, however short its wait.
 	It("let a prompt that has waited long go before a smaller one that just arrived", func() {
 		a := spread.NewQueue()
-		a.Report(0, "b", held(waitedTurn("y", 200_000, 0)))
-		Expect(a.Behind(0, waitedTurn("x", 280_000, 300*time.Millisecond))).To(BeTrue())
-		Expect(a.Behind(0, waitedTurn("x", 280_000, 500*time.Millisecond))).To(BeFalse())
-		a.Report(0, "b", held(waitedTurn("y", 100_000, 0)))
-		Expect(a.Behind(0, waitedTurn("x", 280_000, 500*time.Millisecond))).To(BeTrue(), "a much smaller one still goes first")
+		a.ApplyReport(0, "b", held(waitedTurn("y", 200_000, 0)))
+		Expect(a.MustWait(0, waitedTurn("x", 280_000, 300*time.Millisecond))).To(BeTrue())
+		Expect(a.MustWait(0, waitedTurn("x", 280_000, 500*time.Millisecond))).To(BeFalse())
+		a.ApplyReport(0, "b", held(waitedTurn("y", 100_000, 0)))
+		Expect(a.MustWait(0, waitedTurn("x", 280_000, 500*time.Millisecond))).To(BeTrue(), "a much smaller one still goes first")
 	})
 
 	// Reports of the changing rank of a prompt were half of all messages between 75
 	// instances.
 	It("are reported again only periodically while nothing changes", func() {
 		a := spread.NewQueue()
-		hold := func(q *spread.Queue) { q.Hold(spread.TurnOf(engine, "x", 200_000, 0, 4*time.Second)) }
+		hold := func(q *spread.Queue) { q.Hold(spread.NewTurn(engine, "x", 200_000, 0, 4*time.Second)) }
 		Expect(a.Update(0, hold)).To(BeTrue())
-		a.Tell(0)
+		a.TakeState(0)
 		Expect(a.Update(100*time.Millisecond, hold)).To(BeFalse())
 		Expect(a.Update(300*time.Millisecond, hold)).To(BeTrue(), "a peer may have missed it")
 	})
@@ -79,19 +79,19 @@
 	// engine go first.
 	It("go by arrival if they are larger than an engine", func() {
 		a := spread.NewQueue()
-		a.Report(0, "b", held(waitedTurn("y", 320_000, 0)))
-		Expect(a.Behind(0, waitedTurn("x", 600_000, 10*time.Millisecond))).To(BeFalse())
+		a.ApplyReport(0, "b", held(waitedTurn("y", 320_000, 0)))
+		Expect(a.MustWait(0, waitedTurn("x", 600_000, 10*time.Millisecond))).To(BeFalse())
 	})
 
 	// A hung or stopped instance must not block the prompts of all others.
 	It("do not wait for a peer that is silent or has left", func() {
 		a := spread.NewQueue()
-		a.Report(0, "b", held(turn("y", 100_000)))
-		Expect(a.Behind(spread.TurnBelieved, turn("x", 200_000))).To(BeTrue())
-		Expect(a.Behind(spread.TurnBelieved+1, turn("x", 200_000))).To(BeFalse())
-		a.Report(time.Second, "b", held(turn("y", 100_000)))
-		a.Keep(map[string]bool{"c": true})
-		Expect(a.Behind(time.Second, turn("x", 200_000))).To(BeFalse())
+		a.ApplyReport(0, "b", held(turn("y", 100_000)))
+		Expect(a.MustWait(spread.TurnTTL, turn("x", 200_000))).To(BeTrue())
+		Expect(a.MustWait(spread.TurnTTL+1, turn("x", 200_000))).To(BeFalse())
+		a.ApplyReport(time.Second, "b", held(turn("y", 100_000)))
+		a.RetainPeers(map[string]bool{"c": true})
+		Expect(a.MustWait(time.Second, turn("x", 200_000))).To(BeFalse())
 	})
 
 	It("are placed only when no other goes first, or at the hold limit", func() {
--- a/lab/passes/instance.go
+++ b/lab/passes/instance.go
@@ -59,12 +59,12 @@
 		n.dirty = false
 		n.reports++
 		loads := n.ledger.TakeChanged(n.Now())
-		waiting := n.queue.Tell(n.Now())
+		waiting := n.queue.TakeState(n.Now())
 		n.After(n.load.Peers.Std(), func() {
 			for _, o := range n.instances {
 				if o != n {
 					o.ledger.ApplyReport(n.Now(), n.name, false, loads)
-					o.queue.Report(n.Now(), n.name, waiting)
+					o.queue.ApplyReport(n.Now(), n.name, waiting)
 				}
 			}
 		})
@@ -85,14 +85,14 @@
 	}
 	n.ledger.Advance(n.Now())
 	waited, useful := n.Now()-q.came, q.kind.First.Std()
-	turn := spread.TurnOf(n.spec, q.id, q.prompt, q.came, useful)
+	turn := spread.NewTurn(n.spec, q.id, q.prompt, q.came, useful)
 	left := q.kind.Deadline.Std() - (n.Now() - q.arrived)
 	plan, verdict := spread.Choose(n.spec, n.servers, n.ledger.Total, spread.Request{
 		Instance: n.name, FleetSize: len(n.servers), Avoid: q.avoid,
 		Prompt: q.prompt, Answer: n.spec.UsualAnswer,
 		FirstTarget: useful, GapTarget: q.kind.Pause.Std(), TightestGap: n.tightest,
 		Waited: waited, MaxHold: spread.MaxHold(useful, left+waited), TimeLeft: left,
-		MustWait: n.queue.Behind(n.Now(), turn), SlotWaiters: n.queue.Rivals(n.Now()), Draw: n.rand.Float64(),
+		MustWait: n.queue.MustWait(n.Now(), turn), SlotWaiters: n.queue.SlotWaiters(n.Now()), Draw: n.rand.Float64(),
 	})
 	n.hold(q, turn, verdict == spread.Hold)
 	switch verdict {
@@ -116,7 +116,7 @@
 		case n.deep(q) && waits:
 			held.Hold(t)
 		case n.deep(q):
-			held.Leave(q.id)
+			held.Release(q.id)
 		case waits && !q.waits:
 			held.WaitForSlot(1)
 		case q.waits && !waits:
--- a/serve/relay/exchange.go
+++ b/serve/relay/exchange.go
@@ -264,8 +264,8 @@
 		req.Rotation = 1 + rand.IntN(maxRandomOffset)
 	}
 	return r.loads.Place(func(load func(string) spread.Load, held *spread.Queue) (spread.Plan, spread.Verdict) {
-		req.MustWait = x.isDeep() && held.Behind(r.now(), x.turn())
-		req.SlotWaiters = held.Rivals(r.now())
+		req.MustWait = x.isDeep() && held.MustWait(r.now(), x.turn())
+		req.SlotWaiters = held.SlotWaiters(r.now())
 		return spread.Choose(x.service.Engine, x.isolateSuspect(servers, load), load, req)
 	})
 }
