--- a/control/loads/loads.go
+++ b/control/loads/loads.go
@@ -189,7 +189,7 @@
 // mates told. silent tells that the store has told nothing for a while.
 func (l *Loads) TurnedAway(s backends.Server, silent bool) {
 	l.mu.Lock()
-	pause, fresh := l.away.TurnedAway(l.now(), away.KeyOf(s), silent)
+	pause, fresh := l.away.RecordRejection(l.now(), away.KeyOf(s), silent)
 	l.wake()
 	l.mu.Unlock()
 	if fresh {
@@ -203,7 +203,7 @@
 func (l *Loads) Present(servers []backends.Server) []backends.Server {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.away.Present(l.now(), servers)
+	return l.away.Available(l.now(), servers)
 }
 
 // Of returns the work of all instances on a server.
@@ -295,7 +295,7 @@
 	l.reported++
 	sequence := l.reported
 	waiting := l.queue.TakeState(now)
-	turnedAway := l.away.Tell(now)
+	turnedAway := l.away.Observed(now)
 	mates := l.cell.Mates
 	l.mu.Unlock()
 	msg := &peerpb.LoadReport{Complete: complete, Sequence: sequence, ForSlot: int32(waiting.ForSlot)}
@@ -359,7 +359,7 @@
 	l.ledger.ApplyReport(l.now(), from, r.Complete, work)
 	l.queue.ApplyReport(l.now(), from, waitingOf(l.now(), r))
 	for server, left := range turnedAway {
-		l.away.Told(l.now(), server, left)
+		l.away.ApplyReport(l.now(), server, left)
 	}
 	if r.Complete {
 		l.heard[from] = true
@@ -458,7 +458,7 @@
 	for _, s := range list.All() {
 		note(d.Totals, s.ID, l.ledger.Total(s.ID))
 		note(d.Own, s.ID, l.ledger.LocalLoad(s.ID))
-		if l.away.Out(l.now(), away.KeyOf(s)) {
+		if l.away.PassedOver(l.now(), away.KeyOf(s)) {
 			d.PassedOver = append(d.PassedOver, s.ID)
 		}
 	}
--- a/control/loads/loads_test.go
+++ b/control/loads/loads_test.go
@@ -85,7 +85,7 @@
 		Expect(l.Present(servers)).To(Equal(servers[1:]))
 		l.TurnedAway(servers[1], true)
 		Expect(l.Present(servers)).To(Equal(servers[2:]))
-		Expect(l.away.Tell(time.Second)).To(HaveLen(1), "each instance tells what it saw itself")
+		Expect(l.away.Observed(time.Second)).To(HaveLen(1), "each instance tells what it saw itself")
 	})
 
 	It("are not taken with servers but no times", func() {
--- a/decide/away/away.go
+++ b/decide/away/away.go
@@ -20,9 +20,9 @@
 
 // Parameters of the pause in which a server is passed over.
 const (
-	// First is about how long the store takes to report that a server leaves: a heartbeat
+	// InitialPause is about how long the store takes to report that a server leaves: a heartbeat
 	// of 1.2 s and the delay of the list.
-	First = 1500 * time.Millisecond
+	InitialPause = 1500 * time.Millisecond
 	// maxPause bounds the pauses, which double while the store is silent. A server that
 	// only lacked capacity stays unused for that long.
 	maxPause = 6 * time.Second
@@ -59,26 +59,26 @@
 // NewTable returns an empty table.
 func NewTable(draw func() float64) *Table { return &Table{entries: map[Key]entry{}, draw: draw} }
 
-// TurnedAway records that a server rejected work of this instance. storeSilent reports
+// RecordRejection records that a server rejected work of this instance. storeSilent reports
 // that the store has not answered for a while: only then does a repeated rejection
 // lengthen the pause. It returns the pause, and whether the server was not yet passed
 // over.
-func (t *Table) TurnedAway(now time.Duration, server Key, storeSilent bool) (pause time.Duration, fresh bool) {
+func (t *Table) RecordRejection(now time.Duration, server Key, storeSilent bool) (pause time.Duration, fresh bool) {
 	e, known := t.entries[server]
-	pause, fresh = First, true
+	pause, fresh = InitialPause, true
 	if known && storeSilent && now <= e.until+backoffMemory {
-		pause = min(2*max(e.pause, First), maxPause)
+		pause = min(2*max(e.pause, InitialPause), maxPause)
 	}
 	if known && now < e.until {
 		// The request was already on its way when an earlier one was rejected.
-		pause, fresh = max(e.pause, First), false
+		pause, fresh = max(e.pause, InitialPause), false
 	}
 	t.entries[server] = entry{until: now + pause, pause: pause, observed: true}
 	return pause, fresh
 }
 
-// Told records what a peer observed, and for how long it still passes over the server.
-func (t *Table) Told(now time.Duration, server Key, left time.Duration) {
+// ApplyReport records what a peer observed, and for how long it still passes over the server.
+func (t *Table) ApplyReport(now time.Duration, server Key, left time.Duration) {
 	left = min(left, maxPause)
 	if e := t.entries[server]; left <= 0 || now+left <= e.until {
 		return
@@ -91,25 +91,25 @@
 // half reject work, they lack capacity rather than leave.
 const minPresentShare = 0.5
 
-// Present returns the servers that are not passed over, or all of them if too few would
+// Available returns the servers that are not passed over, or all of them if too few would
 // remain.
-func (t *Table) Present(now time.Duration, servers []backends.Server) []backends.Server {
+func (t *Table) Available(now time.Duration, servers []backends.Server) []backends.Server {
 	if len(t.entries) == 0 {
 		return servers
 	}
-	present := slices.DeleteFunc(slices.Clone(servers), func(s backends.Server) bool { return t.Out(now, KeyOf(s)) })
+	present := slices.DeleteFunc(slices.Clone(servers), func(s backends.Server) bool { return t.PassedOver(now, KeyOf(s)) })
 	if len(present) < int(math.Ceil(minPresentShare*float64(len(servers)))) {
 		return servers
 	}
 	return present
 }
 
-// Out reports whether a server is passed over.
-func (t *Table) Out(now time.Duration, server Key) bool { return now < t.entries[server].until }
+// PassedOver reports whether a server is passed over.
+func (t *Table) PassedOver(now time.Duration, server Key) bool { return now < t.entries[server].until }
 
-// Tell returns the servers that rejected work of this instance, and for how long it still
+// Observed returns the servers that rejected work of this instance, and for how long it still
 // passes over them.
-func (t *Table) Tell(now time.Duration) map[Key]time.Duration {
+func (t *Table) Observed(now time.Duration) map[Key]time.Duration {
 	var out map[Key]time.Duration
 	for server, e := range t.entries {
 		switch {
--- a/serve/relay/relay.go
+++ b/serve/relay/relay.go
@@ -385,5 +385,5 @@
 func (r *Relay) suspend(service, id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.pool(service).suspended[id] = r.now() + away.First
+	r.pool(service).suspended[id] = r.now() + away.InitialPause
 }
