--- a/decide/away/away.go
+++ b/decide/away/away.go
@@ -59,8 +59,8 @@
 // NewTable returns an empty table.
 func NewTable(draw func() float64) *Table { return &Table{entries: map[Key]entry{}, draw: draw} }
 
-// RecordRejection records that a server rejected work of this instance. storeSilent reports
-// that the store has not answered for a while: only then does a repeated rejection
+// RecordRejection records that a server rejected work of this instance. storeSilent
+// reports that the store has not answered for a while: only then does a repeated rejection
 // lengthen the pause. It returns the pause, and whether the server was not yet passed
 // over.
 func (t *Table) RecordRejection(now time.Duration, server Key, storeSilent bool) (pause time.Duration, fresh bool) {
@@ -77,7 +77,8 @@
 	return pause, fresh
 }
 
-// ApplyReport records what a peer observed, and for how long it still passes over the server.
+// ApplyReport records what a peer observed, and for how long it still passes over the
+// server.
 func (t *Table) ApplyReport(now time.Duration, server Key, left time.Duration) {
 	left = min(left, maxPause)
 	if e := t.entries[server]; left <= 0 || now+left <= e.until {
@@ -107,8 +108,8 @@
 // PassedOver reports whether a server is passed over.
 func (t *Table) PassedOver(now time.Duration, server Key) bool { return now < t.entries[server].until }
 
-// Observed returns the servers that rejected work of this instance, and for how long it still
-// passes over them.
+// Observed returns the servers that rejected work of this instance, and for how long it
+// still passes over them.
 func (t *Table) Observed(now time.Duration) map[Key]time.Duration {
 	var out map[Key]time.Duration
 	for server, e := range t.entries {
--- a/decide/spread/hold.go
+++ b/decide/spread/hold.go
@@ -90,8 +90,8 @@
 	maxHoldShare   = 0.6
 )
 
-// MaxHold is how long a request may be held back whose first event is due within first
+// MaxHold is how long a request may be held back whose first event is due within target
 // and whose client waits for limit.
-func MaxHold(first, limit time.Duration) time.Duration {
-	return min(maxHoldTargets*first, time.Duration(maxHoldShare*float64(limit)))
+func MaxHold(target, limit time.Duration) time.Duration {
+	return min(maxHoldTargets*target, time.Duration(maxHoldShare*float64(limit)))
 }
--- a/decide/spread/ledger.go
+++ b/decide/spread/ledger.go
@@ -19,19 +19,19 @@
 
 // Prefill is the prefill of one part of a prompt.
 type Prefill struct {
-	// Duration is how long the prefill takes, ExpectedEnd when it is expected to end: in Work from the
-	// moment of the report, in a ledger by its clock.
+	// Duration is how long the prefill takes, ExpectedEnd when it is expected to end: in
+	// Work from the moment of the report, in a ledger by its clock.
 	Duration, ExpectedEnd time.Duration
 }
 
-// Work is what one instance placed on one server. Reads are not part of Load: every
-// instance removes them when they are due, so that their end need not be sent.
+// Work is what one instance placed on one server. Prefills are not part of Load: every
+// instance removes them at their expected end, so that the end need not be sent.
 type Work struct {
 	Load
 	Prefills []Prefill
 }
 
-// account is the work of one instance on one server, with due times by the ledger's clock.
+// account is the work of one instance on one server, with times by the ledger's clock.
 type account struct {
 	load     Load
 	prefills []Prefill
@@ -49,7 +49,7 @@
 	return sum
 }
 
-// work returns the account with due times relative to now.
+// work returns the account with times relative to now.
 func (a *account) work(now time.Duration) Work {
 	if a == nil {
 		return Work{}
@@ -101,8 +101,8 @@
 	l.changed[KeyOf(server)] = true
 }
 
-// Place records a part of a plan. Its prefill ends by itself when it is due; EndRead with
-// the returned value ends it sooner.
+// Place records a part of a plan. Its prefill ends by itself at its expected end;
+// EndPrefill with the returned value ends it sooner.
 func (l *Ledger) Place(now time.Duration, p Part) Prefill {
 	k := KeyOf(p.Server.ID)
 	r := Prefill{Duration: p.Load.Prefill, ExpectedEnd: now + p.PrefillEnd}
@@ -120,8 +120,8 @@
 }
 
 // EndPrefill ends a prefill that Place recorded, if it has not ended. The server is not
-// marked as changed: peers end the prefill when it is due, or with the next report on the
-// server.
+// marked as changed: peers end the prefill at its expected end, or with the next report on
+// the server.
 func (l *Ledger) EndPrefill(server string, r Prefill) {
 	k := KeyOf(server)
 	if a := l.local[k]; a == nil || !slices.Contains(a.prefills, r) {
@@ -133,7 +133,7 @@
 	})
 }
 
-// Advance ends the prefills that are due.
+// Advance ends the prefills whose expected end has come.
 func (l *Ledger) Advance(now time.Duration) {
 	for len(l.prefillEnds) > 0 && l.prefillEnds[0].at <= now {
 		d := heap.Pop(&l.prefillEnds).(endEvent)
--- a/decide/spread/load.go
+++ b/decide/spread/load.go
@@ -21,8 +21,9 @@
 	HeldTokens int64
 	// Prefill is the prefill time that is still pending, by prediction.
 	Prefill time.Duration `json:"Read"`
-	// UnconfirmedPrefill is the prefill time of prompts whose first event has not come. Read ends at
-	// its predicted end, UnconfirmedPrefill when the first event confirms it.
+	// UnconfirmedPrefill is the prefill time of prompts whose first event has not come.
+	// Prefill ends at its predicted end, UnconfirmedPrefill when the first event confirms
+	// it.
 	UnconfirmedPrefill time.Duration `json:"Unread"`
 	// Parts are prompts of which the server prefills a part for another server.
 	Parts int64
--- a/decide/spread/meter.go
+++ b/decide/spread/meter.go
@@ -40,14 +40,14 @@
 	return meanOf(read)
 }
 
-// maxUnconfirmed caps what one engine contributes to Unread. A prompt of 628,000 tokens
-// that seven of 21 engines prefill for 6 s must not hold back prompts that the rest can
-// prefill.
+// maxUnconfirmed caps what one engine contributes to UnconfirmedPrefill. A prompt of
+// 628,000 tokens that seven of 21 engines prefill for 6 s must not hold back prompts that
+// the rest can prefill.
 const maxUnconfirmed = 500 * time.Millisecond
 
-// UnconfirmedPrefill is the mean unconfirmed prefill of the servers that another prompt would use: as
-// many as can share one, servers with short answers last, then by least unconfirmed
-// prefill. Up to 17 servers it is the mean of all.
+// UnconfirmedPrefill is the mean unconfirmed prefill of the servers that another prompt
+// would use: as many as can share one, servers with short answers last, then by least
+// unconfirmed prefill. Up to 17 servers it is the mean of all.
 //
 // The mean of all servers of a large fleet stays high while a few prompts are prefilled
 // anywhere: no more prompts were admitted at a time on 69 engines than on 18, and 0.27
--- a/decide/spread/plan.go
+++ b/decide/spread/plan.go
@@ -49,13 +49,14 @@
 	Instance string
 	// DataCentre is preferred among servers with equal load.
 	DataCentre string
-	// NoHelpers places a short prompt on a single engine, because helpers rejected the request
-	// before.
+	// NoHelpers places a short prompt on a single engine, because helpers rejected the
+	// request before.
 	NoHelpers bool
 	// FirstTarget is the target for the time to the first event; zero if there is none.
 	FirstTarget time.Duration
 	// GapTarget is the longest acceptable gap between events of the request's own answer,
-	// TightestGap the shortest such limit of any route of the service; zero if none is known.
+	// TightestGap the shortest such limit of any route of the service; zero if none is
+	// known.
 	GapTarget, TightestGap time.Duration
 	// TimeLeft is the time until the caller gives up on the whole answer; zero if it is not
 	// known.
@@ -63,8 +64,8 @@
 	// Waited is how long the request has been held back, MaxHold how long it may be; with
 	// zero it is sent at once.
 	Waited, MaxHold time.Duration
-	// SlotWaiters is the number of requests at all instances that wait for a free slot; Draw is
-	// drawn uniformly from [0, 1) for each placing.
+	// SlotWaiters is the number of requests at all instances that wait for a free slot;
+	// Draw is drawn uniformly from [0, 1) for each placing.
 	SlotWaiters int
 	Draw        float64
 	// MustWait reports that another held prompt precedes this one.
@@ -83,7 +84,7 @@
 	// Reserve is the memory in tokens that must be reserved on a helper before the request
 	// is sent, because the writer cannot hold all of it.
 	Reserve int64
-	// Recorded is the prefill as Ledger.Place recorded it, for EndRead.
+	// Recorded is the prefill as Ledger.Place recorded it, for EndPrefill.
 	Recorded Prefill
 }
 
@@ -93,14 +94,14 @@
 	Parts []Part
 	// FirstEvent is the predicted time to the first event.
 	FirstEvent time.Duration
-	// Backlog is the mean prefill pending on the engines and MostRoom the most free memory
-	// of any engine in tokens, set where a request was not placed because of them.
+	// Backlog is the mean prefill pending on the engines and MaxFreeMemory the most free
+	// memory of any engine in tokens, set where a request was not placed because of them.
 	Backlog       time.Duration
 	MaxFreeMemory int64
 	// Reason is why a request was not placed.
 	Reason Reason
-	// Queued reports that the call will queue: the server already has as many as it has
-	// slots.
+	// Queued reports that the call will wait in the server's queue: the server already has
+	// as many calls as slots.
 	Queued bool
 }
 
@@ -261,10 +262,10 @@
 // usable is the memory of an engine that may be given out.
 func usable(e *route.Engine) int64 { return int64(memoryShare * float64(e.Memory)) }
 
-// lateAfter is the wait after which a prompt cannot have its first event within useful,
+// lateAfter is the wait after which a prompt cannot have its first event within target,
 // even if as many engines as can share it prefill it.
-func lateAfter(e *route.Engine, prompt int64, useful time.Duration) time.Duration {
-	return useful - PrefillTime(e, prompt)/(maxHelpers+1)
+func lateAfter(e *route.Engine, prompt int64, target time.Duration) time.Duration {
+	return target - PrefillTime(e, prompt)/(maxHelpers+1)
 }
 
 // Short reports whether a prompt is answered by the engines that decode short answers and
--- a/decide/spread/turn.go
+++ b/decide/spread/turn.go
@@ -18,8 +18,8 @@
 	Weight int64
 	// Arrived is when the prompt arrived, by the clock of the instance that compares.
 	Arrived time.Duration
-	// FirstTarget is the target for the time to the first event, LateAfter the wait after which
-	// it can no longer be met; both are zero if there is no target.
+	// FirstTarget is the target for the time to the first event, LateAfter the wait after
+	// which it can no longer be met; both are zero if there is no target.
 	FirstTarget, LateAfter time.Duration
 }
 
@@ -28,12 +28,12 @@
 // always has a shorter one. By arrival alone all prompts of a burst would be late.
 const ageingFactor = 5
 
-// NewTurn returns the turn of a prompt that arrived at since and whose first event is due
-// within useful.
-func NewTurn(e *route.Engine, request string, prompt int64, since, useful time.Duration) Turn {
-	t := Turn{Request: request, Weight: weight(e, prompt), Arrived: since, FirstTarget: useful}
-	if useful > 0 {
-		t.LateAfter = lateAfter(e, prompt, useful)
+// NewTurn returns the turn of a prompt that arrived at arrived and whose first event is
+// due within target.
+func NewTurn(e *route.Engine, request string, prompt int64, arrived, target time.Duration) Turn {
+	t := Turn{Request: request, Weight: weight(e, prompt), Arrived: arrived, FirstTarget: target}
+	if target > 0 {
+		t.LateAfter = lateAfter(e, prompt, target)
 	}
 	return t
 }
@@ -70,7 +70,7 @@
 
 // Waiting is what an instance reports of the requests that it holds back.
 type Waiting struct {
-	// First is the first of the deep prompts; Held is false if there are none.
+	// First is the first of the deep prompts; HasFirst is false if there are none.
 	First    Turn
 	HasFirst bool
 	// ForSlot is the number of requests that wait for a free slot.
@@ -125,7 +125,7 @@
 
 // Update applies a change to what this instance holds back and reports whether peers must
 // be sent the state: when it changed, and periodically while something waits.
-func (q *Queue) Update(now time.Duration, change func(*Queue)) (tell bool) {
+func (q *Queue) Update(now time.Duration, change func(*Queue)) (send bool) {
 	previous := q.LocalState(now)
 	change(q)
 	w := q.LocalState(now)
