--- a/decide/health/pace.go
+++ b/decide/health/slow.go
@@ -17,22 +17,22 @@
 	baselineWeight = 0.05
 )
 
-// Pace learns how long the gaps between stream events usually are, in multiples of their
+// SlowDetector learns how long the gaps between stream events usually are, in multiples of their
 // expected length. The zero value is ready for use and has no baseline.
-type Pace struct {
+type SlowDetector struct {
 	baseline    float64
 	windowCount int
 }
 
-// Run collects the gaps of one stream that are judged together.
-type Run struct {
+// GapWindow collects the gaps of one stream that are judged together.
+type GapWindow struct {
 	minRatio float64
 	gapCount int
 }
 
 // Observe records a gap between two events and its expected length, and reports whether
 // the stream's server is slow.
-func (p *Pace) Observe(r *Run, gap, expected time.Duration) bool {
+func (p *SlowDetector) Observe(r *GapWindow, gap, expected time.Duration) bool {
 	if expected <= 0 {
 		return false
 	}
@@ -44,13 +44,13 @@
 		return false
 	}
 	minRatio := r.minRatio
-	*r = Run{}
+	*r = GapWindow{}
 	return p.evaluate(minRatio)
 }
 
 // evaluate reports whether a window is slow; the baseline learns only from windows that
 // are not.
-func (p *Pace) evaluate(minRatio float64) bool {
+func (p *SlowDetector) evaluate(minRatio float64) bool {
 	if p.windowCount >= minWindows && minRatio > slowFactor*p.baseline {
 		return true
 	}
--- a/decide/health/pace_test.go
+++ b/decide/health/slow_test.go
@@ -13,12 +13,12 @@
 var _ = Describe("the detection of slow servers", func() {
 	const expected = 45 * time.Millisecond
 	var (
-		pace *health.Pace
+		pace *health.SlowDetector
 		r    *rand.Rand
 	)
 	// stream observes the gaps of one stream and reports whether its server was found slow.
 	stream := func(events int, factor float64) (slow bool) {
-		run := &health.Run{}
+		run := &health.GapWindow{}
 		for range events {
 			gap := time.Duration(factor * float64(expected) * (1 + 1.5*r.Float64()))
 			slow = pace.Observe(run, gap, expected) || slow
@@ -26,7 +26,7 @@
 		return slow
 	}
 	BeforeEach(func() {
-		pace, r = &health.Pace{}, rand.New(rand.NewPCG(1, 2))
+		pace, r = &health.SlowDetector{}, rand.New(rand.NewPCG(1, 2))
 		for range 20 {
 			Expect(stream(30, 1)).To(BeFalse())
 		}
@@ -39,7 +39,7 @@
 	})
 
 	It("ignores single long gaps", func() {
-		run := &health.Run{}
+		run := &health.GapWindow{}
 		for i := range 60 {
 			gap := expected
 			if i%2 != 0 {
@@ -50,7 +50,7 @@
 	})
 
 	It("compares with the baseline of all servers", func() {
-		pace = &health.Pace{}
+		pace = &health.SlowDetector{}
 		for range 20 {
 			Expect(stream(30, 5)).To(BeFalse())
 		}
@@ -58,7 +58,7 @@
 
 	It("needs a full window and an expected gap", func() {
 		Expect(stream(3, 10)).To(BeFalse())
-		Expect(pace.Observe(&health.Run{}, time.Second, 0)).To(BeFalse())
+		Expect(pace.Observe(&health.GapWindow{}, time.Second, 0)).To(BeFalse())
 	})
 })
 
--- a/serve/relay/health.go
+++ b/serve/relay/health.go
@@ -21,7 +21,7 @@
 
 // beginTracking starts an attempt in the tracker for all servers of a plan.
 func (x *exchange) beginTracking(plan spread.Plan) {
-	x.recorded, x.pace = nil, health.Run{}
+	x.recorded, x.gapWindow = nil, health.GapWindow{}
 	x.withTracker(func(t *health.Tracker) {
 		for _, id := range serverIDs(plan) {
 			t.Begin(x.relay.now(), id)
@@ -79,7 +79,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.pool(x.service.Name)
-	if p.meter.Mean() > overloadBacklog || !p.pace.Observe(&x.pace, x.newestGap, expected) {
+	if p.meter.Mean() > overloadBacklog || !p.slowDetector.Observe(&x.gapWindow, x.newestGap, expected) {
 		return
 	}
 	p.tracker.Slow(r.now(), id)
--- a/serve/relay/relay.go
+++ b/serve/relay/relay.go
@@ -82,8 +82,8 @@
 	retries *retry.Window
 	// lives maps the listed servers to their life, which changes with a restart.
 	lives map[string]backends.Life
-	// pace is the usual pause between events of a stream.
-	pace health.Pace
+	// slowDetector is the usual pause between events of a stream.
+	slowDetector health.SlowDetector
 	// meter averages the prefill backlog of the servers over the last seconds.
 	meter spread.Meter
 	// suspended maps servers that refused work or could not be reached to the time
