--- a/decide/balance/pool.go
+++ b/decide/balance/pool.go
@@ -114,7 +114,7 @@
 
 // Dump returns the state of the pool.
 func (p *Pool) Dump() Dump {
-	d := Dump{Outstanding: map[string]int{}, Ejected: p.health.Out(), RetriesDenied: p.budget.Denied()}
+	d := Dump{Outstanding: map[string]int{}, Ejected: p.health.EjectedCount(), RetriesDenied: p.budget.Denied()}
 	for _, s := range p.servers {
 		d.Servers = append(d.Servers, s.Name)
 	}
--- a/decide/health/slow_test.go
+++ b/decide/health/slow_test.go
@@ -93,7 +93,7 @@
 			now := time.Duration(i) * 100 * time.Millisecond
 			for _, n := range []string{"a", "b", "c"} {
 				if i%4 == 0 {
-					tr.Fault(now, n)
+					tr.ReportedFailure(now, n)
 				} else {
 					tr.Success(now, n)
 				}
--- a/decide/health/tracker.go
+++ b/decide/health/tracker.go
@@ -100,7 +100,7 @@
 	return now >= s.ejectedUntil && s.running < s.limit
 }
 
-// Begin records that a request is sent to name. Success, Failure, Fault or Abandon ends it.
+// Begin records that a request is sent to name. Success, Failure, ReportedFailure or Abandon ends it.
 func (t *Tracker) Begin(now time.Duration, name string) {
 	if s := t.servers[name]; s != nil && s.limit > 0 && now >= s.ejectedUntil {
 		s.running++
@@ -152,9 +152,9 @@
 	t.eject(now, s)
 }
 
-// Fault records a failure that the server itself reported. It counts in the failure rate
+// ReportedFailure records a failure that the server itself reported. It counts in the failure rate
 // only, since the request may be one that fails at every server.
-func (t *Tracker) Fault(now time.Duration, name string) {
+func (t *Tracker) ReportedFailure(now time.Duration, name string) {
 	t.Add(name)
 	s := t.servers[name]
 	t.end(s)
@@ -165,8 +165,8 @@
 	}
 }
 
-// Slow ejects a server that answers much more slowly than expected.
-func (t *Tracker) Slow(now time.Duration, name string) {
+// EjectSlow ejects a server that answers much more slowly than expected.
+func (t *Tracker) EjectSlow(now time.Duration, name string) {
 	if s := t.servers[name]; s != nil {
 		t.eject(now, s)
 	}
@@ -201,8 +201,8 @@
 	t.totalEjections++
 }
 
-// Out counts the servers that are ejected and have not answered a probe yet.
-func (t *Tracker) Out() int {
+// EjectedCount counts the servers that are ejected and have not answered a probe yet.
+func (t *Tracker) EjectedCount() int {
 	n := 0
 	for _, s := range t.servers {
 		if s.isEjected {
@@ -215,5 +215,5 @@
 // mayEject reports whether the bound allows another ejection.
 func (t *Tracker) mayEject() bool {
 	allowed := max(1, int(t.maxShare*float64(len(t.servers))))
-	return t.Out() < allowed
+	return t.EjectedCount() < allowed
 }
--- a/decide/health/tracker_test.go
+++ b/decide/health/tracker_test.go
@@ -54,6 +54,6 @@
 		for _, n := range []string{"a", "b", "c", "d"} {
 			fail(0, n, 5)
 		}
-		Expect(tr.Out()).To(Equal(1))
+		Expect(tr.EjectedCount()).To(Equal(1))
 	})
 })
--- a/serve/relay/health.go
+++ b/serve/relay/health.go
@@ -36,7 +36,7 @@
 
 // recordFault counts a failure that a server itself reported.
 func (x *exchange) recordFault(id string) {
-	x.recordOnce([]string{id}, (*health.Tracker).Fault)
+	x.recordOnce([]string{id}, (*health.Tracker).ReportedFailure)
 }
 
 // recordOnce calls record for each server that has none in the current attempt.
@@ -82,7 +82,7 @@
 	if p.meter.Mean() > overloadBacklog || !p.slowDetector.Observe(&x.gapWindow, x.newestGap, expected) {
 		return
 	}
-	p.tracker.Slow(r.now(), id)
+	p.tracker.EjectSlow(r.now(), id)
 	r.count("servers_slow_total", "service", x.service.Name)
 	r.log.Warn("backend server is slow", zap.String("request", x.req.ID), zap.String("server", id),
 		zap.Duration("pause", x.newestGap), zap.Duration("expected", expected))
