--- a/decide/balance/pool.go
+++ b/decide/balance/pool.go
@@ -82,7 +82,7 @@
 const (
 	Succeeded Verdict = iota
 	Failed
-	GivenUp
+	CallerCancelled
 )
 
 // Done records the end of a call that Pick counted.
@@ -96,13 +96,13 @@
 		p.budget.AddSuccess()
 	case Failed:
 		p.health.Failure(now, name)
-	case GivenUp:
+	case CallerCancelled:
 		p.health.Abandon(name)
 	}
 }
 
-// MayRetry takes one retry from the budget, and reports whether there was one.
-func (p *Pool) MayRetry() bool { return p.budget.Take() }
+// TakeRetry takes one retry from the budget, and reports whether there was one.
+func (p *Pool) TakeRetry() bool { return p.budget.Take() }
 
 // Dump is the state of a pool as shown in the state dump.
 type Dump struct {
--- a/decide/balance/pool_test.go
+++ b/decide/balance/pool_test.go
@@ -49,11 +49,11 @@
 	It("applies new limits", func() {
 		p.SetLimits(0, 0.5)
 		for range 50 {
-			p.MayRetry()
+			p.TakeRetry()
 		}
 		s, _ := p.Pick(0, nil)
 		p.Done(0, s.Name, balance.Succeeded)
-		Expect(p.MayRetry()).To(BeFalse())
+		Expect(p.TakeRetry()).To(BeFalse())
 	})
 
 	// Guards against 503 responses of a healthy service: callers with short timeouts hung up
@@ -61,7 +61,7 @@
 	It("does not eject a server whose callers cancelled", func() {
 		for range 10 {
 			s, _ := p.Pick(0, []string{"b"})
-			p.Done(0, s.Name, balance.GivenUp)
+			p.Done(0, s.Name, balance.CallerCancelled)
 		}
 		Expect(p.Dump().Ejected).To(BeZero())
 		for range 3 {
--- a/serve/api/plain.go
+++ b/serve/api/plain.go
@@ -110,7 +110,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.pools[name].MayRetry() {
+	if !a.pools[name].TakeRetry() {
 		e := result.New(result.BackendFailed, "the backend server failed and the retry budget is spent").WithRetryAfter(time.Second)
 		e.NotRun = !sent
 		return e
@@ -133,7 +133,7 @@
 	case err == nil:
 		return balance.Succeeded
 	case caller.Err() != nil:
-		return balance.GivenUp
+		return balance.CallerCancelled
 	default:
 		return balance.Failed
 	}
