--- a/control/follow/follow.go
+++ b/control/follow/follow.go
@@ -214,7 +214,7 @@
 	for _, h := range f.news.Newest(now, mostTold) {
 		d.Heard = append(d.Heard, DumpHeard{By: h.By, AgeMS: (now - h.At).Milliseconds()})
 	}
-	d.Kept, d.Doubted = f.set.Kept(), f.set.Doubted()
+	d.Kept, d.Doubted = f.set.Retained(), f.set.PresumedStale()
 	d.ConfigAt, d.ConfigBehind, d.Unreadable = f.configAt.String(), f.behind, maps.Clone(f.bad)
 	return d
 }
--- a/control/follow/servers.go
+++ b/control/follow/servers.go
@@ -103,7 +103,7 @@
 func (f *Follower) settle() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.set.Settle(f.now()) {
+	if !f.set.EndGracePeriods(f.now()) {
 		return
 	}
 	snap := f.set.Snapshot()
--- a/decide/backends/era_test.go
+++ b/decide/backends/era_test.go
@@ -48,17 +48,17 @@
 
 	It("retains a missing server until it has had time to write its entry again", func() {
 		set.Replace(era, []backends.Server{a}, later(5))
-		Expect(set.Settle(era + 1900*time.Millisecond)).To(BeFalse())
+		Expect(set.EndGracePeriods(era + 1900*time.Millisecond)).To(BeFalse())
 		Expect(ready()).To(Equal([]string{"a", "b"}))
 		Expect(set.Snapshot().All()).To(HaveLen(1), "All returns only what the store lists")
-		Expect(set.Settle(era + 2*time.Second)).To(BeTrue())
+		Expect(set.EndGracePeriods(era + 2*time.Second)).To(BeTrue())
 		Expect(ready()).To(Equal([]string{"a"}))
 	})
 
 	It("keeps a server that wrote its entry again", func() {
 		set.Replace(era, nil, later(5))
 		set.Apply(era+time.Second, []backends.Change{{ID: "b", Server: &b}}, later(6))
-		set.Settle(era + 2*time.Second)
+		set.EndGracePeriods(era + 2*time.Second)
 		Expect(ready()).To(Equal([]string{"b"}))
 	})
 
@@ -71,9 +71,9 @@
 	It("retains through a third era the servers retained in the second", func() {
 		set.Replace(era, []backends.Server{a}, later(5))
 		set.Replace(era+time.Second, []backends.Server{a}, position.Position{Era: 3, Revision: 4})
-		set.Settle(era + 2500*time.Millisecond)
+		set.EndGracePeriods(era + 2500*time.Millisecond)
 		Expect(ready()).To(Equal([]string{"a", "b"}))
-		set.Settle(era + 3*time.Second)
+		set.EndGracePeriods(era + 3*time.Second)
 		Expect(ready()).To(Equal([]string{"a"}))
 	})
 
@@ -87,7 +87,7 @@
 		for i, c := range after {
 			set.Apply(era+time.Second, []backends.Change{c}, later(int64(6+i)))
 		}
-		set.Settle(era + 2*time.Second)
+		set.EndGracePeriods(era + 2*time.Second)
 		used := false
 		for _, id := range ready() {
 			used = used || id == "a"
@@ -128,9 +128,9 @@
 	It("uses a server again that the store keeps listing", func() {
 		set.Apply(time.Second, []backends.Change{{ID: "a"}}, at(91))
 		set.Replace(era, []backends.Server{a, b}, later(5))
-		set.Settle(era + 4*time.Second)
+		set.EndGracePeriods(era + 4*time.Second)
 		Expect(ready()).To(Equal([]string{"b"}))
-		set.Settle(era + 5*time.Second)
+		set.EndGracePeriods(era + 5*time.Second)
 		Expect(ready()).To(Equal([]string{"a", "b"}))
 	})
 })
--- a/decide/backends/property_test.go
+++ b/decide/backends/property_test.go
@@ -74,7 +74,7 @@
 		read := func() {
 			var leaving []backends.Server
 			at, leaving = store.syncTo(now, set, at)
-			set.Settle(now)
+			set.EndGracePeriods(now)
 			for _, s := range leaving {
 				seenLeaving[serverLife{s.ID, s.Life}] = true
 			}
@@ -115,7 +115,7 @@
 		}
 		read()
 		now += time.Minute
-		set.Settle(now)
+		set.EndGracePeriods(now)
 		var want, got []string
 		for _, s := range store.servers {
 			if !s.Leaving && !seenLeaving[serverLife{s.ID, s.Life}] {
--- a/decide/backends/set.go
+++ b/decide/backends/set.go
@@ -166,9 +166,9 @@
 	s.byID[v.ID] = v
 }
 
-// Settle ends the grace periods of a new era that have expired, and reports whether that
+// EndGracePeriods ends the grace periods of a new era that have expired, and reports whether that
 // changed the set.
-func (s *Set) Settle(now time.Duration) (changed bool) {
+func (s *Set) EndGracePeriods(now time.Duration) (changed bool) {
 	if len(s.retained) > 0 && now >= s.retainUntil {
 		clear(s.retained)
 		changed = true
@@ -180,12 +180,12 @@
 	return changed
 }
 
-// Kept counts the servers that are used although the store does not list them.
-func (s *Set) Kept() int { return len(s.retained) }
+// Retained counts the servers that are used although the store does not list them.
+func (s *Set) Retained() int { return len(s.retained) }
 
-// Doubted counts the servers that are listed but not used, because they were seen to
+// PresumedStale counts the servers that are listed but not used, because they were seen to
 // leave or to restart before the store was restored from a backup.
-func (s *Set) Doubted() int { return len(s.presumedStale) }
+func (s *Set) PresumedStale() int { return len(s.presumedStale) }
 
 // Snapshot returns an immutable view of the set.
 func (s *Set) Snapshot() *Snapshot {
