--- a/lab/passes/instance.go
+++ b/lab/passes/instance.go
@@ -59,12 +59,12 @@
 		n.dirty = false
 		n.reports++
 		loads := n.ledger.TakeChanged(n.Now())
-		waiting := n.queue.Tell(n.Now())
+		waiting := n.queue.TakeState(n.Now())
 		n.After(n.load.Peers.Std(), func() {
 			for _, o := range n.instances {
 				if o != n {
-					o.ledger.Report(n.Now(), n.name, false, loads)
-					o.queue.Report(n.Now(), n.name, waiting)
+					o.ledger.ApplyReport(n.Now(), n.name, false, loads)
+					o.queue.ApplyReport(n.Now(), n.name, waiting)
 				}
 			}
 		})
@@ -85,14 +85,14 @@
 	}
 	n.ledger.Advance(n.Now())
 	waited, useful := n.Now()-q.came, q.kind.First.Std()
-	turn := spread.TurnOf(n.spec, q.id, q.prompt, q.came, useful)
+	turn := spread.NewTurn(n.spec, q.id, q.prompt, q.came, useful)
 	left := q.kind.Deadline.Std() - (n.Now() - q.arrived)
-	plan, verdict := spread.Choose(n.spec, n.servers, n.ledger.Of, spread.Request{
-		Instance: n.name, Fleet: len(n.servers), Avoid: q.avoid,
+	plan, verdict := spread.Choose(n.spec, n.servers, n.ledger.Total, spread.Request{
+		Instance: n.name, FleetSize: len(n.servers), Avoid: q.avoid,
 		Prompt: q.prompt, Answer: n.spec.UsualAnswer,
-		Useful: useful, Pause: q.kind.Pause.Std(), Tightest: n.tightest,
-		Waited: waited, Patience: spread.Patience(useful, left+waited), Left: left,
-		Behind: n.queue.Behind(n.Now(), turn), Rivals: n.queue.Rivals(n.Now()), Draw: n.rand.Float64(),
+		FirstTarget: useful, GapTarget: q.kind.Pause.Std(), TightestGap: n.tightest,
+		Waited: waited, MaxHold: spread.MaxHold(useful, left+waited), TimeLeft: left,
+		MustWait: n.queue.MustWait(n.Now(), turn), SlotWaiters: n.queue.SlotWaiters(n.Now()), Draw: n.rand.Float64(),
 	})
 	n.hold(q, turn, verdict == spread.Hold)
 	switch verdict {
@@ -116,7 +116,7 @@
 		case n.deep(q) && waits:
 			held.Hold(t)
 		case n.deep(q):
-			held.Leave(q.id)
+			held.Release(q.id)
 		case waits && !q.waits:
 			held.WaitForSlot(1)
 		case q.waits && !waits:
@@ -157,7 +157,7 @@
 	each := q.prompt / int64(len(plan.Parts))
 	q.context = max(each, q.prompt-reserved(plan))
 	for i, p := range plan.Parts {
-		plan.Parts[i].Noted = n.ledger.Place(n.Now(), p)
+		plan.Parts[i].Recorded = n.ledger.Place(n.Now(), p)
 	}
 	n.After(n.load.Hop.Std(), func() { n.world.arrive(q) })
 	n.changed()
@@ -184,8 +184,8 @@
 func (n *instance) firstEvent(q *request) {
 	for i := range q.plan.Parts {
 		p := &q.plan.Parts[i]
-		n.ledger.EndRead(p.Server.ID, p.Noted)
-		begun := p.Load.Begun()
+		n.ledger.EndPrefill(p.Server.ID, p.Recorded)
+		begun := p.Load.PrefillPhase()
 		n.ledger.Sub(p.Server.ID, begun)
 		p.Load = p.Load.Minus(begun)
 	}
@@ -197,7 +197,7 @@
 	n.firstEvent(q)
 	for i := range q.plan.Parts {
 		p := &q.plan.Parts[i]
-		n.ledger.Sub(p.Server.ID, p.Load.Writing())
+		n.ledger.Sub(p.Server.ID, p.Load.DecodePhase())
 		p.Load = spread.Load{}
 	}
 	n.dropAll(q, q.plan)
--- a/serve/relay/relay.go
+++ b/serve/relay/relay.go
@@ -82,8 +82,8 @@
 	retries *retry.Window
 	// lives maps the listed servers to their life, which changes with a restart.
 	lives map[string]backends.Life
-	// pace is the usual pause between events of a stream.
-	pace health.Pace
+	// slowDetector is the usual pause between events of a stream.
+	slowDetector health.SlowDetector
 	// meter averages the prefill backlog of the servers over the last seconds.
 	meter spread.Meter
 	// suspended maps servers that refused work or could not be reached to the time
@@ -347,7 +347,7 @@
 func (r *Relay) recordRequest(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.pool(service).retries.Request(r.now())
+	r.pool(service).retries.AddRequest(r.now())
 }
 
 // takeRetry spends one retry of this instance's part of the shared budget, if any.
@@ -385,5 +385,5 @@
 func (r *Relay) suspend(service, id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.pool(service).suspended[id] = r.now() + away.First
+	r.pool(service).suspended[id] = r.now() + away.InitialPause
 }
