--- a/decide/cell/cell.go
+++ b/decide/cell/cell.go
@@ -1,14 +1,14 @@
-// Package cell divides a fleet into cells: groups of instances of a bounded size, each
-// with a share of the backend servers to itself. Instances of one cell tell each other
-// of all work that they place; those of others need not know of it, because they place
-// on other servers. So what an instance is told stays the same however large the fleet
-// is. A small fleet is one cell.
+// Package cell divides a fleet into cells: groups of instances of bounded size, each with
+// its own share of the backend servers. Instances of one cell inform each other of all work
+// that they place; those of other cells need not know of it, because they place on other
+// servers. So the number of messages to an instance doesn't grow with the fleet. A small
+// fleet is one cell.
 //
-// The cell of an instance and its servers follow from the lists of live instances and
-// of servers alone, so nothing is agreed. Two instances whose lists differ may for a
-// while place on one server without knowing of each other: the server then queues or
-// turns work away, as it does for work that was placed in the same millisecond. No
-// promise depends on the cells.
+// The cell of an instance and its servers are computed from the lists of live instances and
+// of servers alone, without agreement. Two instances whose lists differ may for a while
+// place on the same server without knowing of each other: the server then queues or rejects
+// work, as it does for requests placed in the same millisecond. No guarantee depends on the
+// cells.
 //
 // The package does no I/O and reads no clock.
 package cell
@@ -23,43 +23,43 @@
 	"github.com/auburnmoor/auburnmoor/decide/backends"
 )
 
-// Sizes of cells and shares.
+// Minimum sizes of cells and shares.
 const (
-	// fewest is the least number of instances of a cell when a fleet is divided; a cell
-	// has less than twice as many. Of 50 to 100 instances each hears of some 150 to 300
-	// changes a second when each serves one request a second. In smaller cells few large
-	// prompts are read at a time.
-	fewest = 50
-	// leastEngines is the least number of engines of a cell: the largest prompts are held
-	// and read by one engine and 16 others.
-	leastEngines = 17
-	// leastPlain is the least number of servers of a plain service in a share, so that a
-	// request has others to go to when one fails.
-	leastPlain = 3
+	// minInstances is the minimum number of instances per cell in a divided fleet; a cell
+	// has fewer than twice as many. With 50 to 100 instances serving one request a second
+	// each, an instance receives some 150 to 300 changes a second. Smaller cells could prefill
+	// only few large prompts at a time.
+	minInstances = 50
+	// minEngines is the minimum number of engines per cell: the largest prompts are held and
+	// prefilled by one engine with 16 helpers.
+	minEngines = 17
+	// minPlainServers is the minimum number of servers of a plain service per share, so that
+	// a request can be retried elsewhere when a server fails.
+	minPlainServers = 3
 )
 
 // Cell is the cell of one instance.
 type Cell struct {
-	// Index is that of the cell among Count.
+	// Index is the number of the cell, from 0 to Count-1.
 	Index, Count int
 	// Mates are the other instances of the cell.
 	Mates []string
 }
 
-// Of returns the cell of self among live instances, self included. engines is the
-// number of servers of the model service that has fewest, zero without any.
+// Of returns the cell of self; live are all live instances, self included. engines is the
+// number of servers of the model service with the fewest, zero if there is none.
 func Of(self string, live []string, engines int) Cell {
 	order := slices.SortedFunc(slices.Values(live), byHash)
-	c := Cell{Count: min(floorPower(len(order)/fewest), floorPower(engines/leastEngines))}
-	place := slices.Index(order, self)
-	if place < 0 {
-		// An instance that does not find itself among the live ones keeps to itself.
+	c := Cell{Count: min(floorPowerOfTwo(len(order)/minInstances), floorPowerOfTwo(engines/minEngines))}
+	rank := slices.Index(order, self)
+	if rank < 0 {
+		// An instance that is missing from the list gets a cell without others.
 		c.Count = 1
 		return c
 	}
 	for i := range c.Count {
 		from, to := bounds(len(order), c.Count, i)
-		if place < from || place >= to {
+		if rank < from || rank >= to {
 			continue
 		}
 		c.Index = i
@@ -68,14 +68,15 @@
 	return c
 }
 
-// Share returns the cell's share of the servers of a service, by ID. A plain service of
-// few servers is divided into fewer shares than there are cells, and cells share one.
+// Share returns the cell's share of the servers of a service, sorted by ID. A plain service
+// with few servers is divided into fewer shares than there are cells; several cells then use
+// the same share.
 func (c Cell) Share(servers []backends.Server, plain bool) []backends.Server {
-	least := leastEngines
+	minServers := minEngines
 	if plain {
-		least = leastPlain
+		minServers = minPlainServers
 	}
-	shares := min(c.Count, floorPower(len(servers)/least))
+	shares := min(c.Count, floorPowerOfTwo(len(servers)/minServers))
 	if shares <= 1 {
 		return servers
 	}
@@ -86,19 +87,20 @@
 	return out
 }
 
-// bounds are those of part i of n things in equal parts. When one thing comes or goes,
-// each bound moves by one at most.
+// bounds returns the range of part i when n items are divided into equal parts. When an item
+// is added or removed, each bound moves by at most one.
 func bounds(n, parts, i int) (from, to int) { return i * n / parts, (i + 1) * n / parts }
 
-// floorPower is the greatest power of two up to n, at least one. When the number of
-// cells changes, each is divided into two, or two are joined.
-func floorPower(n int) int {
+// floorPowerOfTwo returns the greatest power of two up to n, at least one. With powers of
+// two, a change of the number of cells splits each cell in two or merges pairs of cells.
+func floorPowerOfTwo(n int) int {
 	if n < 1 {
 		return 1
 	}
 	return 1 << (bits.Len(uint(n)) - 1)
 }
 
+// byHash orders names by hash, equal hashes by name.
 func byHash(a, b string) int {
 	return cmp.Or(cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)), cmp.Compare(a, b))
 }
--- a/decide/cell/cell_test.go
+++ b/decide/cell/cell_test.go
@@ -29,13 +29,13 @@
 	return out
 }
 
-// Days of a fleet of 74 were given up for processor time, and 295 instances held more
-// memory than a machine may give: each told all others of every placement and every end
-// of work.
+// Guards against control traffic that grows with the fleet. When each instance informs all
+// others of every placement and every end of work, 74 instances run out of processor time and
+// 295 out of memory.
 var _ = Describe("cells", func() {
-	DescribeTable("are of a bounded size and cover the fleet and the servers once", func(instances, engines, count int) {
+	DescribeTable("are of bounded size and contain each instance and each server once", func(instances, engines, count int) {
 		live, all := names(instances), servers(engines)
-		seen, used, cells := map[string]int{}, map[string]int{}, map[string]cell.Cell{}
+		instanceCells, serverCells, cells := map[string]int{}, map[string]int{}, map[string]cell.Cell{}
 		for _, self := range live {
 			cells[self] = cell.Of(self, live, engines)
 		}
@@ -47,21 +47,21 @@
 			}
 			for _, m := range c.Mates {
 				if cells[m].Index != c.Index {
-					Fail("an instance takes one of another cell for its mate")
+					Fail("an instance of another cell counts as a member of this one")
 				}
 			}
-			seen[self] = c.Index
+			instanceCells[self] = c.Index
 			share := c.Share(all, false)
 			Expect(len(share)).To(BeNumerically(">=", min(engines, 17)))
 			for _, s := range share {
-				if at, taken := used[s.ID]; taken && at != c.Index {
+				if at, taken := serverCells[s.ID]; taken && at != c.Index {
 					Fail("a server belongs to two cells")
 				}
-				used[s.ID] = c.Index
+				serverCells[s.ID] = c.Index
 			}
 		}
-		Expect(seen).To(HaveLen(instances))
-		Expect(used).To(HaveLen(engines))
+		Expect(instanceCells).To(HaveLen(instances))
+		Expect(serverCells).To(HaveLen(engines))
 	},
 		Entry("6", 6, 21, 1),
 		Entry("9", 9, 16, 1),
@@ -73,11 +73,11 @@
 		Entry("199", 199, 120, 2),
 		Entry("295", 295, 172, 4),
 		Entry("350", 350, 750, 4),
-		Entry("many instances before few engines", 295, 20, 1),
+		Entry("many instances with few engines", 295, 20, 1),
 		Entry("no engines", 295, 0, 1),
 	)
 
-	It("move few servers when one comes or goes", func() {
+	It("change their shares by at most one server when one is removed", func() {
 		live := names(295)
 		all := servers(172)
 		for _, self := range live[:40] {
@@ -94,16 +94,16 @@
 		}
 	})
 
-	It("are joined in pairs when half of the fleet is lost", func() {
+	It("are merged in pairs when half of the engines are lost", func() {
 		live := names(295)
 		for _, self := range live {
 			if cell.Of(self, live, 86).Index/2 != cell.Of(self, live, 86/2).Index {
-				Fail("an instance whose cell was joined with another's is in neither")
+				Fail("an instance is in neither of the two cells that were merged")
 			}
 		}
 	})
 
-	DescribeTable("share a plain service so that each has servers to turn to", func(n, shares int) {
+	DescribeTable("share a plain service so that each has enough servers for retries", func(n, shares int) {
 		live := names(295)
 		got := map[string]bool{}
 		for _, self := range live {
@@ -116,7 +116,7 @@
 		Entry("3 servers", 3, 1), Entry("7", 7, 2), Entry("12", 12, 4), Entry("40", 40, 4),
 	)
 
-	It("leave an instance that does not live by itself", func() {
+	It("put an instance that is missing from the list into a cell without others", func() {
 		Expect(cell.Of("x", names(100), 100)).To(Equal(cell.Cell{Count: 1}))
 	})
 })
