--- a/decide/knowledge/knowledge.go
+++ b/decide/knowledge/knowledge.go
@@ -1,10 +1,9 @@
-// Package knowledge tells how far an instance may rely on what it holds of the
+// Package knowledge decides how far an instance may rely on its copy of content of the
 // platform's store, such as the configuration or the list of backend servers.
 //
-// What is held was confirmed at some time: an instance that watches the store had its
-// answer then, and no other had heard of anything newer. A change that came later is told
-// to every instance in touch within a known time, so a confirmation holds for that time
-// and not longer.
+// A copy is confirmed when an instance that watches the store gets the store's answer and no
+// other instance knows of anything newer. A later change reaches every connected instance
+// within a known time, so a confirmation is valid for that time and not longer.
 //
 // The package does no I/O and reads no clock.
 package knowledge
@@ -15,19 +14,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// State is how far what is held can be relied on.
+// State is how far a copy can be relied on.
 type State int
 
 // The states.
 const (
-	// Unknown: nothing is held. Nothing can be decided by it.
+	// Unknown: there is no copy, so nothing can be decided by it.
 	Unknown State = iota
-	// Old: what is held was in force once, and may have been replaced since. Requests that
-	// it allows are served: nothing else is known, and callers are served through an outage
-	// of the store. What it does not allow may be allowed by now, so nobody is told so for
-	// good.
+	// Old: the copy was in force once and may have been superseded. Requests that it allows
+	// are served, so that callers are served through an outage of the store. What it does not
+	// allow may be allowed by now, so such a refusal must not be permanent.
 	Old
-	// Confirmed: what is held is the newest, but for changes that are on their way.
+	// Confirmed: the copy is the newest, except for changes still being propagated.
 	Confirmed
 )
 
@@ -54,28 +52,28 @@
 			return nil
 		}
 	}
-	return errors.Newf("unknown state %q of what is held", b)
+	return errors.Newf("unknown knowledge state %q", b)
 }
 
-// Held is what an instance knows of one thing.
+// Held describes an instance's copy of one piece of content.
 type Held struct {
-	// Any tells that something is held.
+	// Any tells that there is a copy.
 	Any bool
-	// Replaced tells that another instance holds something newer.
+	// Replaced tells that another instance has a newer version.
 	Replaced bool
-	// Ever tells that what is held was confirmed, at ConfirmedAt by the own clock.
+	// Ever tells that the copy was confirmed, last at ConfirmedAt by the local clock.
 	Ever        bool
 	ConfirmedAt time.Duration
 }
 
-// Policy says for how long a confirmation holds.
+// Policy sets for how long a confirmation is valid.
 type Policy struct {
-	// HoldsFor is the longest that a confirmation takes to follow the last one: the wait of
-	// a watch that hears of no change, its answer, and its way to the last instance.
+	// HoldsFor is the maximum time between two confirmations: the wait of a watch call without
+	// a change, its answer, and the propagation to the last instance.
 	HoldsFor time.Duration
 }
 
-// State derives the state of what is held.
+// State derives the state of a copy.
 func (p Policy) State(now time.Duration, h Held) State {
 	switch {
 	case !h.Any:
--- a/decide/knowledge/knowledge_test.go
+++ b/decide/knowledge/knowledge_test.go
@@ -13,25 +13,25 @@
 
 func TestKnowledge(t *testing.T) { testkit.Suite(t, "knowledge") }
 
-var _ = Describe("what is held of the store", func() {
+var _ = Describe("the state of a copy of store content", func() {
 	p := knowledge.Policy{HoldsFor: 4 * time.Second}
 	DescribeTable("is", func(now time.Duration, h knowledge.Held, want knowledge.State) {
 		Expect(p.State(now, h)).To(Equal(want))
 	},
-		Entry("unknown before there is any", time.Second, knowledge.Held{}, knowledge.Unknown),
-		Entry("old if nobody confirmed it", time.Second, knowledge.Held{Any: true}, knowledge.Old),
+		Entry("unknown without a copy", time.Second, knowledge.Held{}, knowledge.Unknown),
+		Entry("old if never confirmed", time.Second, knowledge.Held{Any: true}, knowledge.Old),
 		Entry("confirmed", 14*time.Second, knowledge.Held{Any: true, Ever: true, ConfirmedAt: 10 * time.Second}, knowledge.Confirmed),
-		Entry("old after the confirmation ends", 14*time.Second+1, knowledge.Held{Any: true, Ever: true, ConfirmedAt: 10 * time.Second}, knowledge.Old),
-		Entry("old once another instance holds something newer", 11*time.Second, knowledge.Held{Any: true, Replaced: true, Ever: true, ConfirmedAt: 10 * time.Second}, knowledge.Old),
+		Entry("old after the confirmation expires", 14*time.Second+1, knowledge.Held{Any: true, Ever: true, ConfirmedAt: 10 * time.Second}, knowledge.Old),
+		Entry("old once another instance has a newer version", 11*time.Second, knowledge.Held{Any: true, Replaced: true, Ever: true, ConfirmedAt: 10 * time.Second}, knowledge.Old),
 	)
 
-	It("is written as a word and read again", func() {
+	It("is encoded as text and decoded again", func() {
 		for _, s := range []knowledge.State{knowledge.Unknown, knowledge.Old, knowledge.Confirmed} {
 			raw, err := s.MarshalText()
 			Expect(err).NotTo(HaveOccurred())
-			var back knowledge.State
-			Expect(back.UnmarshalText(raw)).To(Succeed())
-			Expect(back).To(Equal(s))
+			var decoded knowledge.State
+			Expect(decoded.UnmarshalText(raw)).To(Succeed())
+			Expect(decoded).To(Equal(s))
 		}
 		Expect(new(knowledge.State).UnmarshalText([]byte("new"))).NotTo(Succeed())
 	})
