--- a/decide/position/position_test.go
+++ b/decide/position/position_test.go
@@ -12,14 +12,14 @@
 
 func TestPosition(t *testing.T) { testkit.Suite(t, "position") }
 
-var _ = Describe("states of the store", func() {
+var _ = Describe("positions of the store", func() {
 	DescribeTable("are ordered by era, then revision", func(a, b position.Position, before bool) {
 		Expect(a.Before(b)).To(Equal(before))
 		Expect(position.Later(a, b)).To(Equal(map[bool]position.Position{true: b, false: a}[before]))
 	},
 		Entry("within an era", position.Position{Era: 1, Revision: 4}, position.Position{Era: 1, Revision: 5}, true),
-		Entry("the same", position.Position{Era: 1, Revision: 5}, position.Position{Era: 1, Revision: 5}, false),
+		Entry("equal positions", position.Position{Era: 1, Revision: 5}, position.Position{Era: 1, Revision: 5}, false),
 		Entry("a lower revision of a later era", position.Position{Era: 1, Revision: 90}, position.Position{Era: 2, Revision: 5}, true),
-		Entry("no era at all", position.Position{Revision: 90}, position.Position{Era: 1}, true),
+		Entry("a position without an era", position.Position{Revision: 90}, position.Position{Era: 1}, true),
 	)
 })
