--- a/decide/sequence/sequence.go
+++ b/decide/sequence/sequence.go
@@ -1,30 +1,30 @@
-// Package sequence checks that the numbered pieces of an answer arrive each once
-// and in order, also when another server goes on where one broke off.
+// Package sequence checks that the numbered chunks of an answer arrive exactly once and in
+// order, also when another server resumes a stream that broke off.
 package sequence
 
-// Verdict is what a piece is.
+// Verdict is the result of checking a chunk.
 type Verdict int
 
 // The verdicts.
 const (
-	// Next: the piece is due and may be shown.
+	// Next: the chunk is the expected one and may be passed on.
 	Next Verdict = iota
-	// Again: the piece was shown before; a server that goes on may begin earlier.
+	// Again: the chunk was passed on before; a server that resumes may start earlier.
 	Again
-	// Gap: pieces before it are missing, so the answer cannot be completed.
+	// Gap: chunks before it are missing, so the answer cannot be completed.
 	Gap
 )
 
-// Order follows one answer. The zero value takes any first number.
+// Order tracks the chunks of one answer. The zero value accepts any first number.
 type Order struct {
 	next  int64
 	begun bool
 }
 
-// From returns an order whose first piece has a number.
+// From returns an Order that expects first as the number of the first chunk.
 func From(first int64) Order { return Order{next: first, begun: true} }
 
-// Take judges a piece by its number and advances if it is the next.
+// Take checks a chunk by its number and advances if it is the expected one.
 func (o *Order) Take(n int64) Verdict {
 	switch {
 	case o.begun && n < o.next:
@@ -36,5 +36,5 @@
 	return Next
 }
 
-// Following is the number that is due next.
+// Following returns the number of the expected chunk.
 func (o *Order) Following() int64 { return o.next }
--- a/decide/sequence/sequence_test.go
+++ b/decide/sequence/sequence_test.go
@@ -12,10 +12,10 @@
 
 func TestSequence(t *testing.T) { testkit.Suite(t, "sequence") }
 
-var _ = Describe("the order of pieces", func() {
-	// A review lacks a page or has one twice: the server that went on began
-	// earlier or later than the one before it had ended.
-	It("takes each piece once and notices a missing one", func() {
+var _ = Describe("the order of chunks", func() {
+	// Guards against answers with missing or repeated text, when the server that resumes a
+	// stream starts earlier or later than the point where the previous one stopped.
+	It("takes each chunk once and detects a missing one", func() {
 		o := sequence.From(0)
 		Expect(o.Take(0)).To(Equal(sequence.Next))
 		Expect(o.Take(1)).To(Equal(sequence.Next))
@@ -25,14 +25,14 @@
 		Expect(o.Following()).To(Equal(int64(3)))
 	})
 
-	It("begins with the first piece that comes where no number is set", func() {
+	It("starts with the first chunk received if no number is set", func() {
 		var o sequence.Order
 		Expect(o.Take(7)).To(Equal(sequence.Next))
 		Expect(o.Take(7)).To(Equal(sequence.Again))
 		Expect(o.Take(8)).To(Equal(sequence.Next))
 	})
 
-	It("misses pieces before the first number that is set", func() {
+	It("reports a gap before the first chunk if a number is set", func() {
 		o := sequence.From(0)
 		Expect(o.Take(1)).To(Equal(sequence.Gap))
 	})
