--- a/decide/watch/watch.go
+++ b/decide/watch/watch.go
@@ -1,11 +1,11 @@
-// Package watch decides which instances of a fleet watch the store of the platform.
-// The others make no calls to it and are told what changes by those that do. Who
-// watches follows from the list of live instances and from the age of the last news,
-// so nothing is agreed and nobody is elected.
+// Package watch decides which instances of a fleet watch the store of the platform. The
+// others make no calls to it and get its changes from those that do. An instance derives
+// whether it watches from the list of live instances and the age of the last answer of the
+// store that it knows of; there is no agreement and no election.
 //
-// Instances whose lists differ may both watch, which costs calls, or for a bounded
-// time neither, which Policy.StaleAfter ends. Neither breaks a promise: content is
-// taken over by its version or revision, from whoever tells of it first.
+// If the lists of two instances differ, both may watch, which costs additional calls, or
+// neither, which Policy.StaleAfter bounds. Both cases are safe: content is adopted by its
+// version or revision, from whichever instance sends it first.
 //
 // The package does no I/O and reads no clock.
 package watch
@@ -21,37 +21,39 @@
 // Member is a live instance.
 type Member struct {
 	Name, DataCentre string
-	// Leaving instances watch last: they are gone within seconds.
+	// Leaving instances rank last: they stop within seconds.
 	Leaving bool
 	// Capacity is the processor time of the instance in thousandths of a core, zero if
-	// it is not known. Larger instances watch first, and pass content on first.
+	// unknown. Larger instances tend to rank first.
 	Capacity uint32
 }
 
-// Numbers of instances that watch.
+// Minimum numbers of instances that watch.
 const (
-	// perDataCentre is how many watch in each data centre, so that most of what is
-	// passed on stays within one.
-	perDataCentre = 1
-	// least is how many watch in the whole fleet, if it has as many: while some are
-	// replaced, frozen or cut off, the others tell all. Half of the instances may be lost
-	// at the same moment; all of five are lost with them once in thirty times, and their
-	// successors watch as soon as the members notice.
-	least = 5
+	// minPerDataCentre is the minimum per data centre, so that most of the propagation stays
+	// within one.
+	minPerDataCentre = 1
+	// minWatchers is the minimum in the whole fleet, if it has that many instances: while some
+	// are replaced, frozen or partitioned, the others propagate changes. If half of the
+	// instances fail at once, all of five watchers are among them once in thirty times; their
+	// successors watch as soon as the failure is detected.
+	minWatchers = 5
 )
 
-// Standing is the place of one instance in the order of those of its data centre.
+// Standing is the rank of one instance among those of its data centre.
 type Standing struct {
-	// Order is the instances of the data centre, those that watch first.
+	// Order lists the instances of the data centre by rank; the first ones watch.
 	Order []string
-	// Rank is the own index in Order, Watchers how many of Order watch.
+	// Rank is the index of this instance in Order, Watchers the number of instances in Order
+	// that watch.
 	Rank, Watchers int
-	ranks          map[string]int
+	// rankOf is the rank of each live instance in its data centre.
+	rankOf map[string]int
 }
 
-// Stand returns the standing of self. Every instance with the same list comes to the
-// same order (rendezvous hashing), and a member that joins or leaves changes the place
-// of no two others.
+// Stand returns the standing of self. All instances with the same list compute the same
+// order (rendezvous hashing). A member that joins or leaves doesn't change the relative order
+// of the others.
 func Stand(self Member, members []Member) Standing {
 	groups := map[string][]Member{self.DataCentre: nil}
 	for _, m := range members {
@@ -60,21 +62,23 @@
 		}
 	}
 	groups[self.DataCentre] = append(groups[self.DataCentre], self)
-	s := Standing{Watchers: max(perDataCentre, (least+len(groups)-1)/len(groups)), ranks: map[string]int{}}
+	s := Standing{Watchers: max(minPerDataCentre, (minWatchers+len(groups)-1)/len(groups)), rankOf: map[string]int{}}
 	for dc, list := range groups {
-		order := rank(dc, list)
+		order := rankMembers(dc, list)
 		for i, name := range order {
-			s.ranks[name] = i
+			s.rankOf[name] = i
 		}
 		if dc == self.DataCentre {
 			s.Order = order
 		}
 	}
-	s.Rank = s.ranks[self.Name]
+	s.Rank = s.rankOf[self.Name]
 	return s
 }
 
-func rank(dataCentre string, list []Member) []string {
+// rankMembers returns the names of a data centre's members by rank: leaving ones last, the
+// others by weighted rendezvous hashing.
+func rankMembers(dataCentre string, list []Member) []string {
 	type scored struct {
 		Member
 		score float64
@@ -99,51 +103,51 @@
 	return out
 }
 
-// Primary reports whether this instance watches as long as it lives.
+// Primary reports whether this instance always watches.
 func (s Standing) Primary() bool { return s.Rank < s.Watchers }
 
-// Before reports whether an instance, of any data centre, is to watch rather than this
-// one.
+// Before reports whether an instance, of any data centre, has a lower rank than this one and
+// so watches before it.
 func (s Standing) Before(name string) bool {
-	r, known := s.ranks[name]
+	r, known := s.rankOf[name]
 	return known && r < s.Rank
 }
 
-// Policy says when instances watch that usually need not.
+// Policy sets when instances that are not primary watch.
 type Policy struct {
-	// StaleAfter is the age of the last news from an instance that is to watch rather
-	// than this one, beyond which the next one does. It covers a watch that waits in
-	// vain and the time that gossip takes.
+	// StaleAfter is the age of the last store answer of the instances ranked before this one
+	// at which the next in rank begins to watch. It covers the wait of a watch call without a
+	// change and the propagation by gossip.
 	StaleAfter time.Duration
-	// Step is the further age for each rank, so that they begin one after the other. A
-	// store that is down is asked by one more instance of a data centre in each Step.
+	// Step is the additional age per rank, so that instances begin one after the other. While
+	// a store is down, one more instance per data centre calls it in each Step.
 	Step time.Duration
 }
 
-// Due reports whether an instance watches now; age is that of the last news from those
-// that are to watch rather than it.
+// Due reports whether an instance watches now; age is that of the last store answer of the
+// instances ranked before it.
 func (p Policy) Due(s Standing, age time.Duration) bool {
 	return s.Primary() || age >= p.StaleAfter+time.Duration(s.Rank-s.Watchers)*p.Step
 }
 
-// fanOut is to how many neighbours an instance passes content on. Of 75 instances of a
-// data centre the last has it after three steps, and a link of 20 Mbit/s passes a
-// configuration of 1,400 routes (some 40 KB compressed) on in 64 ms.
+// fanOut is the number of instances to which each one forwards content. It reaches all of 75
+// instances of a data centre in three steps, and a link of 20 Mbit/s forwards a configuration
+// of 1,400 routes (some 40 KB compressed) in 64 ms.
 const fanOut = 4
 
-// Next are the instances to which this one passes on what it was told: its children in
-// a tree over the data centre.
+// Next returns the instances to which this one forwards content that it got from another
+// instance: its children in a tree over the data centre.
 func (s Standing) Next() []string {
-	first := fanOut*s.Rank + 1
-	if first >= len(s.Order) {
+	firstChild := fanOut*s.Rank + 1
+	if firstChild >= len(s.Order) {
 		return nil
 	}
-	return s.Order[first:min(first+fanOut, len(s.Order))]
+	return s.Order[firstChild:min(firstChild+fanOut, len(s.Order))]
 }
 
-// First are the instances to which this one passes on what the store told it: the top
-// of the tree beside its own children. Whoever is lost on the way is told by gossip
-// that there is something newer, and asks.
+// First returns the instances to which this one forwards content that it got from the store:
+// the top of the tree and its own children. An instance that misses it learns by gossip that
+// there is a newer version, and requests it.
 func (s Standing) First() []string {
 	var out []string
 	for _, name := range s.Order[:min(fanOut+1, len(s.Order))] {
--- a/decide/watch/watch_test.go
+++ b/decide/watch/watch_test.go
@@ -16,7 +16,7 @@
 
 func TestWatch(t *testing.T) { testkit.Suite(t, "watch") }
 
-// fleet returns n instances over some data centres, a few of them larger.
+// fleet returns n instances spread over data centres, one in seven of them larger.
 func fleet(n, dataCentres int) []watch.Member {
 	var out []watch.Member
 	for i := range n {
@@ -29,27 +29,27 @@
 	return out
 }
 
-func stand(self int, members []watch.Member) watch.Standing {
+func standing(self int, members []watch.Member) watch.Standing {
 	return watch.Stand(members[self], members)
 }
 
 func primaries(members []watch.Member) (out []string) {
 	for i, m := range members {
-		if stand(i, members).Primary() {
+		if standing(i, members).Primary() {
 			out = append(out, m.Name)
 		}
 	}
 	return out
 }
 
-var _ = Describe("who watches the store", func() {
-	// The price of a day was two thirds of what callers were worth: every instance of 22
-	// watched, and each change and each pause of two seconds cost a call of each of them.
-	DescribeTable("is a few of any fleet", func(n, dataCentres, most int) {
+var _ = Describe("the instances that watch the store", func() {
+	// Guards against store calls that grow with the fleet: if every instance watches, each
+	// change and each pause of two seconds costs a call of each of them.
+	DescribeTable("are few in a fleet of any size", func(n, dataCentres, limit int) {
 		members := fleet(n, dataCentres)
-		Expect(len(primaries(members))).To(And(BeNumerically(">=", min(n, 5)), BeNumerically("<=", most)))
+		Expect(len(primaries(members))).To(And(BeNumerically(">=", min(n, 5)), BeNumerically("<=", limit)))
 	},
-		Entry("3 in one place", 3, 1, 3),
+		Entry("3 in one data centre", 3, 1, 3),
 		Entry("6", 6, 3, 6),
 		Entry("9", 9, 3, 6),
 		Entry("22", 22, 5, 5),
@@ -58,9 +58,9 @@
 		Entry("350 in twelve data centres", 350, 12, 12),
 	)
 
-	It("is in each data centre, and a larger one more often", func() {
+	It("are in each data centre, larger instances more often", func() {
 		members := fleet(295, 5)
-		large, places := 0, map[string]bool{}
+		large, dataCentresSeen := 0, map[string]bool{}
 		for round := range 200 {
 			for i := range members {
 				members[i].Name = fmt.Sprintf("r%d-i%03d", round, i)
@@ -70,23 +70,24 @@
 				byName[m.Name] = m
 			}
 			for _, dc := range []int{0, 1, 2, 3, 4} {
-				first := byName[stand(dc, members).Order[0]]
-				places[first.DataCentre] = true
+				first := byName[standing(dc, members).Order[0]]
+				dataCentresSeen[first.DataCentre] = true
 				if first.Capacity == 800 {
 					large++
 				}
 			}
 		}
-		Expect(places).To(HaveLen(5))
-		// One of seven has four times the processor time: 0.41 of the chance.
+		Expect(dataCentresSeen).To(HaveLen(5))
+		// One of seven has more than four times the processor time of the others: it is first
+		// with a probability of 0.41.
 		Expect(float64(large) / 1000).To(BeNumerically("~", 800.0/(800+6*192), 0.06))
 	})
 
-	It("changes by as many as are lost", func() {
+	It("change only by those that are lost", func() {
 		members := fleet(295, 5)
 		before := primaries(members)
-		gone := slices.Index(names(members), before[0])
-		after := primaries(slices.Delete(slices.Clone(members), gone, gone+1))
+		removed := slices.Index(names(members), before[0])
+		after := primaries(slices.Delete(slices.Clone(members), removed, removed+1))
 		var kept int
 		for _, p := range after {
 			if slices.Contains(before, p) {
@@ -96,19 +97,19 @@
 		Expect(kept).To(Equal(len(before) - 1))
 	})
 
-	It("is a leaving instance last", func() {
+	It("include a leaving instance last", func() {
 		members := fleet(22, 5)
 		first := slices.Index(names(members), primaries(members)[0])
 		members[first].Leaving = true
-		Expect(stand(first, members).Primary()).To(BeFalse())
+		Expect(standing(first, members).Primary()).To(BeFalse())
 	})
 
-	It("is one more instance of a data centre for each step without news", func() {
+	It("grow by one per data centre for each step without a store answer", func() {
 		members := fleet(60, 1)
 		p := watch.Policy{StaleAfter: 6 * time.Second, Step: time.Second}
 		due := func(age time.Duration) (n int) {
 			for i := range members {
-				if p.Due(stand(i, members), age) {
+				if p.Due(standing(i, members), age) {
 					n++
 				}
 			}
@@ -120,15 +121,15 @@
 		Expect(due(15 * time.Second)).To(Equal(15))
 	})
 
-	It("gives way to those before it only", func() {
+	It("wait only for instances ranked before them", func() {
 		members := fleet(60, 3)
 		for i := range members {
-			s := stand(i, members)
+			s := standing(i, members)
 			for j, m := range members {
-				Expect(s.Before(m.Name)).To(Equal(stand(j, members).Rank < s.Rank))
+				Expect(s.Before(m.Name)).To(Equal(standing(j, members).Rank < s.Rank))
 			}
 		}
-		Expect(stand(0, members).Before("nobody")).To(BeFalse())
+		Expect(standing(0, members).Before("nobody")).To(BeFalse())
 	})
 })
 
@@ -139,43 +140,43 @@
 	return out
 }
 
-// reach passes one piece of news on from an instance that heard it from the store and
-// returns who has it, in how many steps, and how often one instance sent it.
-func reach(members []watch.Member, from int, lost map[string]bool) (have map[string]bool, steps, most int) {
+// propagate forwards content from an instance that got it from the store. It returns the
+// instances reached, the number of steps and the maximum number of sends by one instance.
+func propagate(members []watch.Member, from int, lost map[string]bool) (reached map[string]bool, steps, maxSends int) {
 	index := map[string]int{}
 	for i, m := range members {
 		index[m.Name] = i
 	}
-	have = map[string]bool{members[from].Name: true}
-	round := stand(from, members).First()
-	most = len(round)
+	reached = map[string]bool{members[from].Name: true}
+	round := standing(from, members).First()
+	maxSends = len(round)
 	for len(round) > 0 {
 		var next []string
-		known := len(have)
+		known := len(reached)
 		for _, name := range round {
-			if have[name] || lost[name] {
+			if reached[name] || lost[name] {
 				continue
 			}
-			have[name] = true
-			out := stand(index[name], members).Next()
-			most = max(most, len(out))
+			reached[name] = true
+			out := standing(index[name], members).Next()
+			maxSends = max(maxSends, len(out))
 			next = append(next, out...)
 		}
 		round = next
-		if len(have) > known {
+		if len(reached) > known {
 			steps++
 		}
 	}
-	return have, steps, most
+	return reached, steps, maxSends
 }
 
-var _ = Describe("passing news on", func() {
-	DescribeTable("reaches a whole data centre in a few steps", func(n, most int) {
+var _ = Describe("forwarding content", func() {
+	DescribeTable("reaches a whole data centre in a few steps", func(n, limit int) {
 		members := fleet(n, 1)
 		for from := range members {
-			have, steps, sent := reach(members, from, nil)
-			Expect(have).To(HaveLen(n))
-			Expect(steps).To(BeNumerically("<=", most))
+			reached, steps, sent := propagate(members, from, nil)
+			Expect(reached).To(HaveLen(n))
+			Expect(steps).To(BeNumerically("<=", limit))
 			Expect(sent).To(BeNumerically("<=", 9))
 		}
 	},
@@ -185,20 +186,19 @@
 		Entry("75", 75, 4),
 	)
 
-	// Gossip repairs what is missed: an instance that others were to hear from, and those
-	// below it.
-	It("misses a branch at most when an instance is frozen", func() {
+	// Gossip repairs the loss of a frozen instance and its subtree.
+	It("misses at most one subtree when an instance is frozen", func() {
 		members := fleet(75, 1)
 		for i := range members {
 			from := (i + 1) % len(members)
-			have, _, _ := reach(members, from, map[string]bool{members[i].Name: true})
-			Expect(len(have)).To(BeNumerically(">=", 75-(1+4+16)))
+			reached, _, _ := propagate(members, from, map[string]bool{members[i].Name: true})
+			Expect(len(reached)).To(BeNumerically(">=", 75-(1+4+16)))
 		}
 	})
 })
 
-var _ = Describe("news of those that watch", func() {
-	It("counts from the latest word, and from the start without any", func() {
+var _ = Describe("the last answers of the store", func() {
+	It("are as old as the newest entry, or as the process without any", func() {
 		n := watch.NewNews()
 		all := func(string) bool { return true }
 		Expect(n.Age(3*time.Second, all)).To(Equal(3 * time.Second))
@@ -212,9 +212,10 @@
 	})
 })
 
-// play is a fleet whose members tell each other at random, as gossip does, of those that
-// watch, while a share of them cannot reach the store.
-func play(n, dataCentres int, seed uint64, cut func(name string) bool) (watching []int, stalest time.Duration) {
+// simulate runs a fleet whose members relay the last answers of the store to random others,
+// as gossip does, while those for which disconnected is true can't reach the store. It returns
+// the number of watching instances over time and the maximum age of the last answer.
+func simulate(n, dataCentres int, seed uint64, disconnected func(name string) bool) (watching []int, maxAge time.Duration) {
 	const (
 		wait   = 6 * time.Second
 		tick   = 200 * time.Millisecond
@@ -223,26 +224,26 @@
 	r := rand.New(rand.NewPCG(seed, 1))
 	p := watch.Policy{StaleAfter: wait + 1600*time.Millisecond, Step: time.Second}
 	members := fleet(n, dataCentres)
-	var stands []watch.Standing
+	var standings []watch.Standing
 	var news []*watch.News
-	answer := make([]time.Duration, n)
+	answerAt := make([]time.Duration, n)
 	for i := range members {
-		stands = append(stands, stand(i, members))
+		standings = append(standings, standing(i, members))
 		news = append(news, watch.NewNews())
-		answer[i] = -1
+		answerAt[i] = -1
 	}
 	for now := time.Duration(0); now < length; now += tick {
 		count := 0
 		for i, m := range members {
-			due := p.Due(stands[i], news[i].Age(now, stands[i].Before))
+			due := p.Due(standings[i], news[i].Age(now, standings[i].Before))
 			switch {
 			case !due:
-				answer[i] = -1
-			case answer[i] < 0:
-				answer[i] = now + wait
-			case now >= answer[i] && !cut(m.Name):
+				answerAt[i] = -1
+			case answerAt[i] < 0:
+				answerAt[i] = now + wait
+			case now >= answerAt[i] && !disconnected(m.Name):
 				news[i].Note(watch.Heard{By: m.Name, At: now})
-				answer[i] = now + wait
+				answerAt[i] = now + wait
 			}
 			if due {
 				count++
@@ -257,34 +258,34 @@
 		watching = append(watching, count)
 		for i := range members {
 			if now >= 2*wait+p.StaleAfter {
-				stalest = max(stalest, news[i].Age(now, func(string) bool { return true }))
+				maxAge = max(maxAge, news[i].Age(now, func(string) bool { return true }))
 			}
 		}
 	}
-	return watching, stalest
+	return watching, maxAge
 }
 
-var _ = Describe("a fleet that watches", func() {
-	DescribeTable("asks no more of the store the larger it is, and none lives on old news", func(n, dataCentres int) {
+var _ = Describe("a fleet that watches the store", func() {
+	DescribeTable("makes no more calls the larger it is, and keeps every instance up to date", func(n, dataCentres int) {
 		for seed := range uint64(5) {
-			watching, stalest := play(n, dataCentres, seed, func(string) bool { return false })
+			watching, maxAge := simulate(n, dataCentres, seed, func(string) bool { return false })
 			Expect(slices.Max(watching)).To(BeNumerically("<=", 6))
-			Expect(stalest).To(BeNumerically("<=", 6*time.Second+2*time.Second))
+			Expect(maxAge).To(BeNumerically("<=", 6*time.Second+2*time.Second))
 		}
 	},
 		Entry("6", 6, 3), Entry("22", 22, 5), Entry("74", 74, 3), Entry("295", 295, 5),
 	)
 
-	// All instances that watch are turned away by the store while it serves the others.
-	// Without successors the fleet would send requests to servers that left for as long.
+	// The store rejects all watching instances while it serves the others. Without successors
+	// the fleet would send requests to removed servers for that time.
 	DescribeTable("finds successors one after the other", func(n, dataCentres int) {
 		members := fleet(n, dataCentres)
 		first := primaries(members)
 		for seed := range uint64(5) {
-			watching, stalest := play(n, dataCentres, seed, func(name string) bool { return slices.Contains(first, name) })
+			watching, maxAge := simulate(n, dataCentres, seed, func(name string) bool { return slices.Contains(first, name) })
 			Expect(slices.Max(watching)).To(BeNumerically("<=", len(first)+8*dataCentres))
 			Expect(watching[len(watching)-1]).To(BeNumerically(">", len(first)))
-			Expect(stalest).To(BeNumerically("<=", 2*6*time.Second+4*time.Second))
+			Expect(maxAge).To(BeNumerically("<=", 2*6*time.Second+4*time.Second))
 		}
 	},
 		Entry("9", 9, 3), Entry("22", 22, 5), Entry("74", 74, 3), Entry("295", 295, 5),
