--- a/decide/confver/confver.go
+++ b/decide/confver/confver.go
@@ -1,5 +1,5 @@
 // Package confver decides how versions of the configuration are accepted and
-// adopted. It does no I/O: a driver carries out the reads and writes.
+// adopted. It does no I/O itself: the given store carries out the reads and writes.
 package confver
 
 import (
@@ -12,14 +12,14 @@
 )
 
 // maxRecent bounds the write ids kept in the pointer object. A writer whose
-// reply was lost finds its id there even after that many later changes.
+// reply was lost finds its id there for that many further changes.
 const maxRecent = 32
 
-// Pointer is the object that names the version in force.
+// Pointer is the object that identifies the version in force.
 type Pointer struct {
 	Version uint64 `json:"version"`
 	WriteID string `json:"write_id"`
-	// Digest names the immutable parts of the content.
+	// Digest identifies the immutable parts of the content, Parts is their number.
 	Digest string `json:"digest"`
 	Parts  int    `json:"parts"`
 	// Era is the store's era in which the version was accepted.
@@ -28,13 +28,13 @@
 	Recent []Accepted `json:"recent"`
 }
 
-// Accepted is a write id with the version it got.
+// Accepted is a write id with the version assigned to it.
 type Accepted struct {
 	WriteID string `json:"write_id"`
 	Version uint64 `json:"version"`
 }
 
-// Decode reads a pointer object; no content is the pointer before version 1.
+// Decode parses a pointer object; empty input yields the pointer before version 1.
 func Decode(raw []byte) (Pointer, error) {
 	var p Pointer
 	if len(raw) == 0 {
@@ -43,28 +43,28 @@
 	return p, errors.Wrap(json.Unmarshal(raw, &p), "configuration pointer")
 }
 
-// Encode renders the pointer.
+// Encode returns the stored form of the pointer.
 func (p Pointer) Encode() ([]byte, error) { return json.Marshal(p) }
 
-// eraStep is above the number of versions that can be accepted in the seconds that a
-// store loses when it comes back from an older copy.
+// eraStep exceeds the number of versions that can be accepted in the seconds that a store
+// loses when it is restored from an older copy.
 const eraStep = 1 << 20
 
 // Next returns the pointer that follows p in an era of the store. In a later era than that
-// of p the store may have lost versions that followed p and are in force. A number is
-// never given to a second content, so those that may have been given out are passed over.
+// of p, the store may have lost versions after p that are in force. Version numbers are never
+// reused for other content, so those that may have been assigned are skipped.
 func (p Pointer) Next(era uint64, writeID, digest string, parts int) Pointer {
-	from := max(p.Era, objectapi.FirstEra)
-	next := Pointer{Version: p.Version + 1, Era: max(era, from), WriteID: writeID, Digest: digest, Parts: parts}
-	next.Version += eraStep * (next.Era - from)
+	fromEra := max(p.Era, objectapi.FirstEra)
+	next := Pointer{Version: p.Version + 1, Era: max(era, fromEra), WriteID: writeID, Digest: digest, Parts: parts}
+	next.Version += eraStep * (next.Era - fromEra)
 	next.Recent = append(slices.Clone(p.Recent), Accepted{WriteID: writeID, Version: next.Version})
-	if over := len(next.Recent) - maxRecent; over > 0 {
-		next.Recent = next.Recent[over:]
+	if excess := len(next.Recent) - maxRecent; excess > 0 {
+		next.Recent = next.Recent[excess:]
 	}
 	return next
 }
 
-// Find returns the version that a write id got.
+// Find returns the version assigned to a write id, if it is among the recent ones.
 func (p Pointer) Find(writeID string) (uint64, bool) {
 	for _, a := range p.Recent {
 		if a.WriteID == writeID {
@@ -74,15 +74,15 @@
 	return 0, false
 }
 
-// Holder keeps the newest version seen. Versions come from the store, from
-// peers and from stale reads in any order; taking over only a higher one is
-// what keeps an accepted configuration from reverting.
+// Holder holds the newest version seen. Versions arrive from the store, from
+// peers and from stale reads in any order; adopting only higher ones prevents
+// an accepted configuration from being reverted.
 type Holder struct {
 	version uint64
 	content []byte
 }
 
-// Adopt takes over content if its version is newer and reports whether it did.
+// Adopt replaces the content if the version is newer and reports whether it did.
 func (h *Holder) Adopt(version uint64, content []byte) bool {
 	if version <= h.version {
 		return false
--- a/decide/confver/confver_test.go
+++ b/decide/confver/confver_test.go
@@ -20,13 +20,13 @@
 	testkit.Suite(t, "confver")
 }
 
-// fakeStore loses replies and lets a test act in the middle of a call.
+// fakeStore can lose replies and run a function in the middle of a Put.
 type fakeStore struct {
-	objects   map[string]objectapi.Object
-	version   uint64
-	era       uint64
-	lose      int
-	beforePut func(key string)
+	objects     map[string]objectapi.Object
+	version     uint64
+	era         uint64
+	loseReplies int
+	beforePut   func(key string)
 }
 
 func (s *fakeStore) Get(_ context.Context, key string) (objectapi.Object, error) {
@@ -55,8 +55,8 @@
 	}
 	s.version++
 	s.objects[key] = objectapi.Object{Key: key, Version: s.version, Value: value}
-	if s.lose > 0 {
-		s.lose--
+	if s.loseReplies > 0 {
+		s.loseReplies--
 		return 0, objectapi.ErrUnknown
 	}
 	return s.version, nil
@@ -72,26 +72,27 @@
 		return confver.Accept(ctx, store, []byte(content), base, id)
 	}
 
-	// A change that was accepted is in force nowhere: the store came back without the last
-	// versions, and their numbers were given out again.
-	It("never gives a number out twice, though the store lost the versions that had it", func() {
+	// Guards against accepted changes that are in force nowhere: a store that is restored
+	// without its last versions would assign their numbers again, and instances ignore a
+	// version that they have already seen.
+	It("never assigns a version number twice, even if the store lost the versions that had it", func() {
 		store.era = 1
 		Expect(accept("one", 0, "w1")).To(Equal(uint64(1)))
-		copied := maps.Clone(store.objects)
-		given := map[uint64]bool{1: true}
+		snapshot := maps.Clone(store.objects)
+		assigned := map[uint64]bool{1: true}
 		for i := range 5 {
 			cur, err := confver.ReadPointer(ctx, store)
 			Expect(err).NotTo(HaveOccurred())
 			v, err := accept("next", cur.Pointer.Version, fmt.Sprint("w-", i))
 			Expect(err).NotTo(HaveOccurred())
-			Expect(given).NotTo(HaveKey(v))
-			given[v] = true
-			store.objects = maps.Clone(copied)
+			Expect(assigned).NotTo(HaveKey(v))
+			assigned[v] = true
+			store.objects = maps.Clone(snapshot)
 			store.era++
 		}
 	})
 
-	It("gives rising versions and reads them back", func() {
+	It("assigns increasing versions and reads them back", func() {
 		Expect(accept("one", 0, "w1")).To(Equal(uint64(1)))
 		Expect(accept("two", 1, "w2")).To(Equal(uint64(2)))
 		cur, err := confver.ReadPointer(ctx, store)
@@ -99,23 +100,22 @@
 		Expect(confver.ReadContent(ctx, store, cur.Pointer)).To(Equal([]byte("two")))
 	})
 
-	// An operator is told "conflict" by its own change: the write took effect,
-	// its reply was lost, and the retry found a newer version. Cause: judging a
-	// write by the version instead of by who wrote it.
+	// Guards against a conflict with one's own change: the write takes effect, its
+	// reply is lost, and the retry finds a newer version. Comparing versions
+	// instead of write ids would report a conflict.
 	It("recognizes its own write after a lost reply", func() {
-		store.lose = 2
+		store.loseReplies = 2
 		Expect(accept("one", 0, "w1")).To(Equal(uint64(1)))
 	})
 
-	It("recognizes its own write although another operator's followed", func() {
+	It("recognizes its own write even after a later one of another operator", func() {
 		Expect(accept("one", 0, "w1")).To(Equal(uint64(1)))
 		Expect(accept("two", 1, "w2")).To(Equal(uint64(2)))
 		Expect(accept("one", 0, "w1")).To(Equal(uint64(1)), "the same change sent again")
 	})
 
-	// Two operators change version 1 at the same time and both are told
-	// "accepted"; the first change is lost. Cause: a write that does not depend
-	// on what was read.
+	// Guards against lost updates: two operators change version 1 at the same time.
+	// With unconditional writes both would be accepted and the first change lost.
 	It("lets one of two racing operators win and tells the other the version in force", func() {
 		Expect(accept("one", 0, "w1")).To(Equal(uint64(1)))
 		store.beforePut = func(string) {
@@ -141,9 +141,9 @@
 })
 
 var _ = Describe("a holder", func() {
-	// A caller's key stops working minutes after it was added: an instance read
-	// an old version from a stale replica of the store and put it into force.
-	It("never goes back to an older version", func() {
+	// Guards against a rollback by a stale read: an instance reads an old version from
+	// a stale replica of the store, and a key added since stops working.
+	It("never reverts to an older version", func() {
 		var h confver.Holder
 		for _, v := range []uint64{3, 1, 2, 5, 4, 5} {
 			h.Adopt(v, fmt.Appendf(nil, "v%d", v))
--- a/decide/confver/split.go
+++ b/decide/confver/split.go
@@ -9,26 +9,26 @@
 	"github.com/cockroachdb/errors"
 )
 
-// PartSize is the content of one part object, below the platform's limit.
+// PartSize is the maximum content of one part object in bytes, below the platform's limit.
 const PartSize = 900 << 10
 
-// Keys of the objects.
+// Keys of the objects in the store.
 const (
 	PointerKey = "config/current"
 	partPrefix = "config/part/"
 )
 
-// WatchDuty is the name by which the instances that watch the store are chosen.
+// WatchDuty is the key by which the instances that watch the store are chosen.
 const WatchDuty = "config-watch"
 
-// Digest names content.
+// Digest returns the SHA-256 of content in hex.
 func Digest(content []byte) string {
 	sum := sha256.Sum256(content)
 	return hex.EncodeToString(sum[:])
 }
 
-// PartKey names part i of the content with this digest. Parts are immutable
-// and named by content, so a reader can never combine parts of two versions.
+// PartKey returns the key of part i of the content with this digest. Parts are immutable
+// and addressed by content, so a reader can never combine parts of two versions.
 func PartKey(digest string, i int) string { return fmt.Sprintf("%s%s-%d", partPrefix, digest, i) }
 
 // Split cuts content into parts.
@@ -41,7 +41,7 @@
 	return append(out, content)
 }
 
-// Join puts parts together and checks them against the digest.
+// Join concatenates parts and checks them against the digest.
 func Join(digest string, parts [][]byte) ([]byte, error) {
 	content := bytes.Join(parts, nil)
 	if Digest(content) != digest {
--- a/decide/confver/store.go
+++ b/decide/confver/store.go
@@ -9,7 +9,7 @@
 	"github.com/auburnmoor/auburnmoor/result"
 )
 
-// Current is what the store holds.
+// Current is the pointer as read from the store.
 type Current struct {
 	Pointer Pointer
 	// ObjectVersion is the version of the pointer object, for the next update.
@@ -29,7 +29,7 @@
 	return Current{Pointer: p, ObjectVersion: obj.Version}, err
 }
 
-// ReadContent reads and checks the parts that a pointer names.
+// ReadContent reads the parts that a pointer identifies and checks their digest.
 func ReadContent(ctx context.Context, s objectapi.Store, p Pointer) ([]byte, error) {
 	var parts [][]byte
 	for i := range p.Parts {
@@ -42,20 +42,20 @@
 	return Join(p.Digest, parts)
 }
 
-// maxWriteTries bounds the attempts of one change whose replies are lost.
-const maxWriteTries = 8
+// maxWriteAttempts bounds the attempts of one write whose replies are lost.
+const maxWriteAttempts = 8
 
 // Accept stores content as the successor of version base and returns the new
-// version. It says "accepted" only when the store holds the change, and
-// resolves a lost reply by finding its write id, never by guessing.
+// version. It succeeds only once the store holds the change, and resolves a
+// lost reply by looking for the write id in the pointer.
 func Accept(ctx context.Context, s objectapi.Store, content []byte, base uint64, writeID string) (uint64, error) {
 	digest := Digest(content)
 	parts := Split(content)
 	if err := writeParts(ctx, s, digest, parts); err != nil {
 		return 0, err
 	}
-	var last error
-	for range maxWriteTries {
+	var lastErr error
+	for range maxWriteAttempts {
 		if err := ctx.Err(); err != nil {
 			break
 		}
@@ -63,18 +63,19 @@
 		if !retry {
 			return version, err
 		}
-		last = err
+		lastErr = err
 	}
 	return 0, errors.WithSecondaryError(
-		result.New(result.StoreUnavailable, "the store did not confirm write %s; it may still take effect: %v", writeID, last), last)
+		result.New(result.StoreUnavailable, "the store did not confirm write %s; it may still take effect: %v", writeID, lastErr), lastErr)
 }
 
+// writeParts stores the parts of the content, each with several attempts.
 func writeParts(ctx context.Context, s objectapi.Store, digest string, parts [][]byte) error {
 	for i, part := range parts {
 		var err error
-		for range maxWriteTries {
+		for range maxWriteAttempts {
 			_, err = s.Put(ctx, PartKey(digest, i), part, 0)
-			// A conflict means that the part exists; its name fixes its content.
+			// A conflict means that the part exists; its key determines its content.
 			if err == nil || errors.Is(err, objectapi.ErrConflict) || ctx.Err() != nil {
 				break
 			}
@@ -86,10 +87,10 @@
 	return nil
 }
 
-// acceptOnce reads the pointer, looks for its own write id and updates
-// conditionally. Repeating it is safe: a write that took effect is found by
-// its id, and one that did not cannot take effect twice, because the object's
-// version has moved.
+// acceptOnce reads the pointer, looks for the write id and updates the pointer with
+// a compare-and-swap. It is idempotent: a write that took effect is found by its id,
+// and one that is still in flight cannot take effect after a repeated one, because
+// the object's version has changed.
 func acceptOnce(ctx context.Context, s objectapi.Store, digest string, parts int, base uint64, writeID string) (version uint64, retry bool, err error) {
 	cur, err := ReadPointer(ctx, s)
 	if err != nil {
