--- a/decide/rollout/rollout.go
+++ b/decide/rollout/rollout.go
@@ -1,7 +1,6 @@
-// Package rollout compares what engines have loaded with what the manifest
-// wants and decides the orders that bring them into line. It never takes the
-// last ready engine from a service, and keeps loads within the weight store's
-// rate.
+// Package rollout compares the models that engines have loaded with the manifest and
+// decides on the orders that reconcile them. It never takes the last ready engine from a
+// service, and limits the rate of loads to what the weight store serves.
 //
 // The package does no I/O and reads no clock.
 package rollout
@@ -14,14 +13,14 @@
 	"github.com/auburnmoor/auburnmoor/port/engine"
 )
 
-// Config limits orders.
+// Config sets limits on orders.
 type Config struct {
 	// MaxPerEngine bounds the models on one engine.
 	MaxPerEngine int
-	// Loads bounds the loads under way, LoadEvery spaces their starts.
+	// Loads bounds the loads in progress; LoadEvery is the minimum time between their starts.
 	Loads     int
 	LoadEvery time.Duration
-	// LoadTimeout is when a load that did not finish may be ordered again.
+	// LoadTimeout is the time after which an unfinished load may be ordered again.
 	LoadTimeout time.Duration
 }
 
@@ -30,7 +29,7 @@
 	return Config{MaxPerEngine: 4, Loads: 4, LoadEvery: 100 * time.Millisecond, LoadTimeout: 30 * time.Second}
 }
 
-// Engine is what is known of an engine.
+// Engine is the observed state of an engine.
 type Engine struct {
 	Name    string
 	Models  []string
@@ -44,19 +43,21 @@
 	Order  engine.Order
 }
 
-// Planner remembers the loads under way.
+// Planner decides on orders and keeps track of the loads in progress.
 type Planner struct {
-	cfg      Config
-	loading  map[string]time.Duration
-	lastLoad time.Duration
+	cfg        Config
+	loadStarts map[string]time.Duration
+	lastLoad   time.Duration
 }
 
-// NewPlanner returns a planner without memory.
-func NewPlanner(cfg Config) *Planner { return &Planner{cfg: cfg, loading: map[string]time.Duration{}} }
+// NewPlanner returns a planner with no loads in progress.
+func NewPlanner(cfg Config) *Planner {
+	return &Planner{cfg: cfg, loadStarts: map[string]time.Duration{}}
+}
 
-// Next returns the orders to give now. Engines are compared with the manifest
-// at every call, for ever: a stray order of a former holder shows as a
-// difference and is undone like any other.
+// Next returns the orders to send now. Every call compares the engines with the manifest,
+// so the effect of a late order by a former lease holder is a difference like any other
+// and is undone.
 func (p *Planner) Next(now time.Duration, m *manifest.Manifest, engines []Engine) []Step {
 	want := Assign(m, engines, p.cfg.MaxPerEngine)
 	var out []Step
@@ -64,8 +65,8 @@
 		if e.Leaving {
 			continue
 		}
-		out = append(out, p.loads(now, e, want[e.Name])...)
-		out = append(out, p.unloads(e, want[e.Name], engines, m)...)
+		out = append(out, p.planLoads(now, e, want[e.Name])...)
+		out = append(out, p.planUnloads(e, want[e.Name], engines, m)...)
 		if role := roleOf(m, e.Name); e.Role != "" && e.Role != role {
 			out = append(out, Step{Engine: e.Name, Order: engine.Order{Kind: engine.OrderRole, Target: role}})
 		}
@@ -73,6 +74,7 @@
 	return out
 }
 
+// roleOf returns the role that the manifest gives an engine, "any" if it gives none.
 func roleOf(m *manifest.Manifest, name string) string {
 	for _, r := range m.Roles {
 		if r.Engine == name {
@@ -82,29 +84,30 @@
 	return "any"
 }
 
-func (p *Planner) loads(now time.Duration, e Engine, want []string) []Step {
+// planLoads orders the missing models of an engine, within the limits on loads.
+func (p *Planner) planLoads(now time.Duration, e Engine, want []string) []Step {
 	var out []Step
 	for _, model := range want {
 		key := e.Name + "/" + model
 		if slices.Contains(e.Models, model) {
-			delete(p.loading, key)
+			delete(p.loadStarts, key)
 			continue
 		}
-		if at, ok := p.loading[key]; ok && now-at < p.cfg.LoadTimeout {
+		if at, ok := p.loadStarts[key]; ok && now-at < p.cfg.LoadTimeout {
 			continue
 		}
-		if p.underWay(now) >= p.cfg.Loads || (p.lastLoad > 0 && now-p.lastLoad < p.cfg.LoadEvery) {
+		if p.loadsInProgress(now) >= p.cfg.Loads || (p.lastLoad > 0 && now-p.lastLoad < p.cfg.LoadEvery) {
 			continue
 		}
-		p.loading[key], p.lastLoad = now, now
+		p.loadStarts[key], p.lastLoad = now, now
 		out = append(out, Step{Engine: e.Name, Order: engine.Order{Kind: engine.OrderLoad, Target: model}})
 	}
 	return out
 }
 
-func (p *Planner) underWay(now time.Duration) int {
+func (p *Planner) loadsInProgress(now time.Duration) int {
 	n := 0
-	for _, at := range p.loading {
+	for _, at := range p.loadStarts {
 		if now-at < p.cfg.LoadTimeout {
 			n++
 		}
@@ -112,12 +115,12 @@
 	return n
 }
 
-// unloads removes models that no service wants, once every service has its
-// wanted model ready on as many engines as the plan gives it.
-func (p *Planner) unloads(e Engine, want []string, engines []Engine, m *manifest.Manifest) []Step {
+// planUnloads removes models that are not wanted on an engine, once every service has its
+// model ready on all engines assigned to it.
+func (p *Planner) planUnloads(e Engine, want []string, engines []Engine, m *manifest.Manifest) []Step {
 	var out []Step
 	for _, model := range e.Models {
-		if slices.Contains(want, model) || !settled(m, engines, p.cfg.MaxPerEngine) {
+		if slices.Contains(want, model) || !allLoaded(m, engines, p.cfg.MaxPerEngine) {
 			continue
 		}
 		out = append(out, Step{Engine: e.Name, Order: engine.Order{Kind: engine.OrderUnload, Target: model}})
@@ -125,8 +128,8 @@
 	return out
 }
 
-// settled reports whether every engine that should have a wanted model has it.
-func settled(m *manifest.Manifest, engines []Engine, perEngine int) bool {
+// allLoaded reports whether every engine has loaded the models assigned to it.
+func allLoaded(m *manifest.Manifest, engines []Engine, perEngine int) bool {
 	want := Assign(m, engines, perEngine)
 	for _, e := range engines {
 		for _, model := range want[e.Name] {
@@ -138,11 +141,11 @@
 	return true
 }
 
-// Assign divides the models that the manifest wants over the engines. With few
-// models every engine gets all; with more, each engine gets perEngine of them
-// in turn, so that every model has an even number of engines.
+// Assign distributes the models of the manifest over the engines. With at most perEngine
+// models every engine gets all; with more, each gets perEngine of them in round-robin
+// order, so that the models are spread evenly.
 func Assign(m *manifest.Manifest, engines []Engine, perEngine int) map[string][]string {
-	models := wanted(m)
+	models := wantedModels(m)
 	out := map[string][]string{}
 	next := 0
 	for _, e := range engines {
@@ -157,7 +160,8 @@
 	return out
 }
 
-func wanted(m *manifest.Manifest) []string {
+// wantedModels returns the sorted models of all model services in the manifest.
+func wantedModels(m *manifest.Manifest) []string {
 	var out []string
 	for _, s := range m.Services {
 		if s.Type == manifest.Model && !slices.Contains(out, s.Loaded()) {
--- a/decide/rollout/rollout_test.go
+++ b/decide/rollout/rollout_test.go
@@ -20,7 +20,8 @@
 
 func TestRollout(t *testing.T) { testkit.Suite(t, "rollout") }
 
-func wants(models ...string) *manifest.Manifest {
+// manifestOf returns a manifest with one model service per version.
+func manifestOf(models ...string) *manifest.Manifest {
 	m := &manifest.Manifest{}
 	for _, v := range models {
 		m.Services = append(m.Services, manifest.Service{Name: v, Type: manifest.Model, ModelName: "m", Version: v})
@@ -29,7 +30,7 @@
 }
 
 var _ = Describe("a rollout", func() {
-	It("starts no more loads than allowed at once and spaces them", func() {
+	It("limits the loads in progress and spaces their starts", func() {
 		p := rollout.NewPlanner(rollout.Config{MaxPerEngine: 4, Loads: 2, LoadEvery: time.Second, LoadTimeout: time.Minute})
 		var engines []rollout.Engine
 		for i := range 10 {
@@ -37,20 +38,20 @@
 		}
 		loads := 0
 		for now := time.Second; now < 20*time.Second; now += 100 * time.Millisecond {
-			loads += len(p.Next(now, wants("v1"), engines))
+			loads += len(p.Next(now, manifestOf("v1"), engines))
 		}
 		Expect(loads).To(Equal(2))
 	})
 
-	It("undoes a stray order", func() {
+	It("undoes a late order of a former lease holder", func() {
 		p := rollout.NewPlanner(rollout.DefaultConfig())
 		engines := []rollout.Engine{{Name: "e", Models: []string{"m@v1", "m@withdrawn"}, Role: "long"}}
-		steps := p.Next(time.Second, wants("v1"), engines)
+		steps := p.Next(time.Second, manifestOf("v1"), engines)
 		Expect(steps).To(ContainElement(rollout.Step{Engine: "e", Order: engine.Order{Kind: engine.OrderUnload, Target: "m@withdrawn"}}))
 		Expect(steps).To(ContainElement(rollout.Step{Engine: "e", Order: engine.Order{Kind: engine.OrderRole, Target: "any"}}))
 	})
 
-	It("gives every model engines when there are more models than fit on one", func() {
+	It("assigns engines to every model when there are more models than fit on one engine", func() {
 		var models []string
 		for i := range 14 {
 			models = append(models, fmt.Sprintf("v%02d", i))
@@ -60,9 +61,9 @@
 			engines = append(engines, rollout.Engine{Name: fmt.Sprint("e", i)})
 		}
 		count := map[string]int{}
-		for _, got := range rollout.Assign(wants(models...), engines, 4) {
-			Expect(len(got)).To(BeNumerically("<=", 4))
-			for _, m := range got {
+		for _, assigned := range rollout.Assign(manifestOf(models...), engines, 4) {
+			Expect(len(assigned)).To(BeNumerically("<=", 4))
+			for _, m := range assigned {
 				count[m]++
 			}
 		}
@@ -73,9 +74,9 @@
 	})
 })
 
-// TestReadyProperty changes versions at random times, with loads that take a
-// random time and orders that get lost. Once a version of the service was
-// ready, some version must stay ready.
+// TestReadyProperty changes versions at random times while loads take a random
+// time and orders get lost. Once some version of the service is ready, at least
+// one must stay ready.
 func TestReadyProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := rollout.NewPlanner(rollout.DefaultConfig())
@@ -84,12 +85,12 @@
 			engines[i].Name = fmt.Sprint("e", i)
 		}
 		ready := map[string]time.Duration{}
-		version, served := 1, false
+		version, wasReady := 1, false
 		for now := time.Second; now < 3*time.Minute; now += 500 * time.Millisecond {
 			if rapid.IntRange(0, 60).Draw(t, "change") == 0 {
 				version++
 			}
-			for _, s := range p.Next(now, wants(fmt.Sprint("v", version)), engines) {
+			for _, s := range p.Next(now, manifestOf(fmt.Sprint("v", version)), engines) {
 				if rapid.IntRange(0, 4).Draw(t, "lost") == 0 {
 					continue
 				}
@@ -100,7 +101,7 @@
 					delete(ready, key)
 				}
 			}
-			any := false
+			anyReady := false
 			for i := range engines {
 				engines[i].Models = nil
 				for v := range version {
@@ -110,12 +111,12 @@
 					}
 				}
 				slices.Sort(engines[i].Models)
-				any = any || len(engines[i].Models) > 0
+				anyReady = anyReady || len(engines[i].Models) > 0
 			}
-			if served && !any {
+			if wasReady && !anyReady {
 				t.Fatalf("no engine is ready at %s", now)
 			}
-			served = any
+			wasReady = anyReady
 		}
 	})
 }
