--- a/decide/member/detect_test.go
+++ b/decide/member/detect_test.go
@@ -49,9 +49,9 @@
 	engines = 1000
 )
 
-func newNetwork(n int, seed uint64, limit time.Duration, lossRate float64) *network {
+func newNetwork(n int, seed uint64, maxFailAfter time.Duration, lossRate float64) *network {
 	cfg := member.DefaultConfig()
-	cfg.Period, cfg.FailBase, cfg.FailMost, cfg.FailDistant = 400*time.Millisecond, 700*time.Millisecond, limit, failDistant
+	cfg.Period, cfg.FailBase, cfg.FailMost, cfg.FailDistant = 400*time.Millisecond, 700*time.Millisecond, maxFailAfter, failDistant
 	f := &network{rand: rand.New(rand.NewPCG(seed, 1)), failed: -1, lossRate: lossRate, delayed: map[time.Duration][]func(){}, cellPeers: map[int]map[*member.Table]bool{}, views: map[int][]string{}}
 	var contacts []member.Contact
 	for i := range n {
