--- a/decide/confver/confver_test.go
+++ b/decide/confver/confver_test.go
@@ -22,11 +22,11 @@
 
 // fakeStore can lose replies and run a function in the middle of a Put.
 type fakeStore struct {
-	objects     map[string]objectapi.Object
-	version     uint64
-	era         uint64
-	loseReplies int
-	beforePut   func(key string)
+	objects       map[string]objectapi.Object
+	version       uint64
+	era           uint64
+	repliesToLose int
+	beforePut     func(key string)
 }
 
 func (s *fakeStore) Get(_ context.Context, key string) (objectapi.Object, error) {
@@ -55,8 +55,8 @@
 	}
 	s.version++
 	s.objects[key] = objectapi.Object{Key: key, Version: s.version, Value: value}
-	if s.loseReplies > 0 {
-		s.loseReplies--
+	if s.repliesToLose > 0 {
+		s.repliesToLose--
 		return 0, objectapi.ErrUnknown
 	}
 	return s.version, nil
@@ -104,7 +104,7 @@
 	// reply is lost, and the retry finds a newer version. Comparing versions
 	// instead of write ids would report a conflict.
 	It("recognizes its own write after a lost reply", func() {
-		store.loseReplies = 2
+		store.repliesToLose = 2
 		Expect(accept("one", 0, "w1")).To(Equal(uint64(1)))
 	})
 
--- a/decide/member/detect_test.go
+++ b/decide/member/detect_test.go
@@ -19,10 +19,10 @@
 // network simulates a fleet whose members gossip with their neighbours over reliable links
 // and send each other signs of life by datagrams, which may be lost.
 type network struct {
-	names  []string
-	tables []*member.Table
-	rand   *rand.Rand
-	failed int
+	names        []string
+	tables       []*member.Table
+	rand         *rand.Rand
+	failedMember int
 	// lossRate is the share of lost packets. Gossip then arrives after a retransmission, a
 	// datagram not at all.
 	lossRate float64
@@ -52,7 +52,7 @@
 func newNetwork(n int, seed uint64, maxFailAfter time.Duration, lossRate float64) *network {
 	cfg := member.DefaultConfig()
 	cfg.Period, cfg.FailBase, cfg.FailMost, cfg.FailDistant = 400*time.Millisecond, 700*time.Millisecond, maxFailAfter, failDistant
-	f := &network{rand: rand.New(rand.NewPCG(seed, 1)), failed: -1, lossRate: lossRate, delayed: map[time.Duration][]func(){}, cellPeers: map[int]map[*member.Table]bool{}, views: map[int][]string{}}
+	f := &network{rand: rand.New(rand.NewPCG(seed, 1)), failedMember: -1, lossRate: lossRate, delayed: map[time.Duration][]func(){}, cellPeers: map[int]map[*member.Table]bool{}, views: map[int][]string{}}
 	var contacts []member.Contact
 	for i := range n {
 		f.names = append(f.names, fmt.Sprintf("i%03d", i))
@@ -66,15 +66,15 @@
 	return f
 }
 
-// advance moves the clock on by d and calls each after every step.
-func (f *network) advance(d time.Duration, each func()) {
+// runFor moves the clock on by d and calls each after every step.
+func (f *network) runFor(d time.Duration, each func()) {
 	for end := f.now + d; f.now < end; f.now += step {
 		for _, arrive := range f.delayed[f.now] {
 			arrive()
 		}
 		delete(f.delayed, f.now)
 		for i := range f.tables {
-			if i != f.failed {
+			if i != f.failedMember {
 				f.sendAll(i)
 			}
 		}
@@ -87,7 +87,7 @@
 func (f *network) sendAll(i int) {
 	f.updateCell(i)
 	for _, m := range append(f.tables[i].Answers(f.now), f.tables[i].Tick(f.now)...) {
-		if to := slices.Index(f.names, m.To); to >= 0 && to != f.failed {
+		if to := slices.Index(f.names, m.To); to >= 0 && to != f.failedMember {
 			f.send(func() { f.tables[to].Receive(f.now, m.Gossip) })
 		}
 	}
@@ -108,7 +108,7 @@
 // broadcast sends all others a datagram, which may be lost.
 func (f *network) broadcast(from int, arrive func(*member.Table)) {
 	for to, t := range f.tables {
-		if to != from && to != f.failed && f.rand.Float64() >= f.lossRate {
+		if to != from && to != f.failedMember && f.rand.Float64() >= f.lossRate {
 			arrive(t)
 		}
 	}
@@ -152,17 +152,17 @@
 // detect stops one member and returns how long each other member took to declare it dead,
 // and how often a live member that was known before was missing from a view after a step.
 func (f *network) detect() (delays []time.Duration, missing int) {
-	f.advance(20*time.Second, func() {})
-	f.failed = 3
+	f.runFor(20*time.Second, func() {})
+	f.failedMember = 3
 	began := f.now
 	known := make([]int, len(f.tables))
 	for i, t := range f.tables {
 		known[i] = len(t.Alive(f.now)) - 1
 	}
 	detected := map[int]bool{}
-	f.advance(4*time.Second, func() {
+	f.runFor(4*time.Second, func() {
 		for i, t := range f.tables {
-			if i == f.failed {
+			if i == f.failedMember {
 				continue
 			}
 			alive := t.Alive(f.now)
@@ -223,7 +223,7 @@
 
 	It("is not kept alive by late gossip", func() {
 		t := newNetwork(2, 1, 2200*time.Millisecond, 0)
-		t.advance(2*time.Second, func() {})
+		t.runFor(2*time.Second, func() {})
 		late := &peerpb.MemberState{Name: "i001", Incarnation: 10, Heartbeat: 1000, AgeMs: 2000}
 		t.tables[0].Receive(t.now, &peerpb.Gossip{Members: []*peerpb.MemberState{late}})
 		Expect(t.tables[0].Alive(t.now + 2300*time.Millisecond)).To(HaveLen(1))
@@ -231,7 +231,7 @@
 
 	It("announces to all members that it leaves", func() {
 		t := newNetwork(74, 1, 2200*time.Millisecond, 0)
-		t.advance(10*time.Second, func() {})
+		t.runFor(10*time.Second, func() {})
 		t.tables[5].SetLeaving()
 		Expect(t.tables[5].Announce(t.now)).To(HaveLen(73))
 	})
@@ -253,7 +253,7 @@
 			f.tables[i] = member.NewTable(&peerpb.MemberState{Name: name, Incarnation: 10}, cfg, rand.New(rand.NewPCG(seed, uint64(i+2))))
 			f.tables[i].SetContacts(seeds)
 		}
-		f.advance(within, func() {})
+		f.runFor(within, func() {})
 		missing := 0
 		for _, t := range f.tables {
 			missing += n - len(t.Alive(f.now))
--- a/decide/member/table_test.go
+++ b/decide/member/table_test.go
@@ -42,8 +42,8 @@
 	return f
 }
 
-// advance moves the clock on in steps of 100 ms and delivers all gossip at once.
-func (f *fleet) advance(d time.Duration) {
+// runFor moves the clock on in steps of 100 ms and delivers all gossip at once.
+func (f *fleet) runFor(d time.Duration) {
 	for end := f.now + d; f.now < end; f.now += 100 * time.Millisecond {
 		f.order.Shuffle(len(f.names), func(i, j int) { f.names[i], f.names[j] = f.names[j], f.names[i] })
 		for _, name := range f.names {
@@ -64,27 +64,27 @@
 var _ = Describe("membership", func() {
 	It("discovers all members from the instance list", func() {
 		f := newFleet(9)
-		f.advance(5 * time.Second)
+		f.runFor(5 * time.Second)
 		Expect(f.alive("i000")).To(Equal(9))
 	})
 
 	It("drops a silent member and takes it back when it returns", func() {
 		f := newFleet(9)
-		f.advance(5 * time.Second)
+		f.runFor(5 * time.Second)
 		f.silent["i003"] = true
-		f.advance(15 * time.Second)
+		f.runFor(15 * time.Second)
 		Expect(f.alive("i000")).To(Equal(8))
 		f.silent["i003"] = false
-		f.advance(5 * time.Second)
+		f.runFor(5 * time.Second)
 		Expect(f.alive("i000")).To(Equal(9))
 	})
 
 	It("declares no member of a large healthy fleet dead", func() {
 		f := newFleet(100)
-		f.advance(20 * time.Second)
+		f.runFor(20 * time.Second)
 		fewestAlive := 100
 		for i := range 200 {
-			f.advance(100 * time.Millisecond)
+			f.runFor(100 * time.Millisecond)
 			fewestAlive = min(fewestAlive, f.alive(fmt.Sprintf("i%03d", i%100)))
 		}
 		Expect(fewestAlive).To(Equal(100))
@@ -95,9 +95,9 @@
 	// exceeded while all are well. With these seeds one pair each failed that way.
 	DescribeTable("does not count the age of a heartbeat as silence without direct signs of life", func(seed uint64) {
 		f := newFleetOf(100, seed)
-		f.advance(20 * time.Second)
+		f.runFor(20 * time.Second)
 		for range 100 {
-			f.advance(200 * time.Millisecond)
+			f.runFor(200 * time.Millisecond)
 			for _, name := range f.names {
 				Expect(f.alive(name)).To(Equal(100), "as %s sees it after %s", name, f.now)
 			}
@@ -109,9 +109,9 @@
 
 	It("spreads a departure at once and keeps the leaving member reachable", func() {
 		f := newFleet(5)
-		f.advance(5 * time.Second)
+		f.runFor(5 * time.Second)
 		f.tables["i001"].SetLeaving()
-		f.advance(2 * time.Second)
+		f.runFor(2 * time.Second)
 		Expect(member.Owners(f.tables["i000"].Alive(f.now))).NotTo(ContainElement("i001"))
 		Expect(f.alive("i000")).To(Equal(5))
 	})
@@ -137,11 +137,11 @@
 	// would get no requests until its clock catches up.
 	It("lets a restarted instance raise its incarnation above its predecessor's", func() {
 		f := newFleet(3)
-		f.advance(5 * time.Second)
+		f.runFor(5 * time.Second)
 		restarted := member.NewTable(&peerpb.MemberState{Name: "i001", Incarnation: 3}, member.DefaultConfig(), rand.New(rand.NewPCG(9, 9)))
 		restarted.SetContacts([]member.Contact{{Name: "i000"}, {Name: "i002"}})
 		f.tables["i001"] = restarted
-		f.advance(10 * time.Second)
+		f.runFor(10 * time.Second)
 		Expect(f.alive("i000")).To(Equal(3))
 		for _, s := range f.tables["i000"].Alive(f.now) {
 			if s.Name == "i001" {
@@ -155,11 +155,11 @@
 	// entry as old, so that a fleet of nine never becomes ready.
 	It("spreads a change although later heartbeats arrive before it", func() {
 		f := newFleet(9)
-		f.advance(30 * time.Second)
+		f.runFor(30 * time.Second)
 		for i := range 9 {
 			f.tables[fmt.Sprintf("i%03d", i)].SetEngines([]*peerpb.EngineState{{Name: fmt.Sprint("e", i), Models: []string{"m"}}})
 		}
-		f.advance(5 * time.Second)
+		f.runFor(5 * time.Second)
 		for i := range 9 {
 			for _, s := range f.tables[fmt.Sprintf("i%03d", i)].Alive(f.now) {
 				Expect(s.Engines).To(HaveLen(1), "%s as i%03d sees it", s.Name, i)
@@ -170,7 +170,7 @@
 	It("does not take a name on the instance list for a sign of life", func() {
 		f := newFleet(2)
 		f.tables["i000"].SetContacts([]member.Contact{{Name: "ghost"}})
-		f.advance(5 * time.Second)
+		f.runFor(5 * time.Second)
 		Expect(f.alive("i000")).To(Equal(2))
 	})
 })
