--- a/decide/member/table.go
+++ b/decide/member/table.go
@@ -34,13 +34,13 @@
 	// FailDistant is the silence after which a member of another cell is considered dead
 	// if none of its cell peers reports its silence; zero applies the general timeout.
 	FailDistant time.Duration
-	// Forget is the silence after which a member is removed from the table.
-	Forget time.Duration
+	// ForgetAfter is the silence after which a member is removed from the table.
+	ForgetAfter time.Duration
 }
 
 // DefaultConfig returns the values on which docs/CAPACITY.md is based.
 func DefaultConfig() Config {
-	return Config{Period: 500 * time.Millisecond, Fanout: 3, Sample: 16, FailBase: 2500 * time.Millisecond, Forget: 5 * time.Minute}
+	return Config{Period: 500 * time.Millisecond, Fanout: 3, Sample: 16, FailBase: 2500 * time.Millisecond, ForgetAfter: 5 * time.Minute}
 }
 
 // entry is what a table holds of one other member.
@@ -441,11 +441,11 @@
 	}
 }
 
-// forget removes the members that have been silent for longer than Forget.
+// forget removes the members that have been silent for longer than ForgetAfter.
 func (t *Table) forget(now time.Duration) {
 	t.order = slices.DeleteFunc(t.order, func(name string) bool {
 		e := t.entries[name]
-		gone := !e.contact && now-e.heard > t.cfg.Forget
+		gone := !e.contact && now-e.heard > t.cfg.ForgetAfter
 		if gone {
 			delete(t.entries, name)
 		}
--- a/decide/rollout/rollout.go
+++ b/decide/rollout/rollout.go
@@ -17,16 +17,16 @@
 type Config struct {
 	// MaxPerEngine bounds the models on one engine.
 	MaxPerEngine int
-	// Loads bounds the loads in progress; LoadEvery is the minimum time between their starts.
-	Loads     int
-	LoadEvery time.Duration
+	// MaxLoads bounds the loads in progress; LoadInterval is the minimum time between their starts.
+	MaxLoads     int
+	LoadInterval time.Duration
 	// LoadTimeout is the time after which an unfinished load may be ordered again.
 	LoadTimeout time.Duration
 }
 
 // DefaultConfig returns the values of the daemon.
 func DefaultConfig() Config {
-	return Config{MaxPerEngine: 4, Loads: 4, LoadEvery: 100 * time.Millisecond, LoadTimeout: 30 * time.Second}
+	return Config{MaxPerEngine: 4, MaxLoads: 4, LoadInterval: 100 * time.Millisecond, LoadTimeout: 30 * time.Second}
 }
 
 // Engine is the observed state of an engine.
@@ -96,7 +96,7 @@
 		if at, ok := p.loadStarts[key]; ok && now-at < p.cfg.LoadTimeout {
 			continue
 		}
-		if p.loadsInProgress(now) >= p.cfg.Loads || (p.lastLoad > 0 && now-p.lastLoad < p.cfg.LoadEvery) {
+		if p.loadsInProgress(now) >= p.cfg.MaxLoads || (p.lastLoad > 0 && now-p.lastLoad < p.cfg.LoadInterval) {
 			continue
 		}
 		p.loadStarts[key], p.lastLoad = now, now
--- a/decide/rollout/rollout_test.go
+++ b/decide/rollout/rollout_test.go
@@ -31,7 +31,7 @@
 
 var _ = Describe("a rollout", func() {
 	It("limits the loads in progress and spaces their starts", func() {
-		p := rollout.NewPlanner(rollout.Config{MaxPerEngine: 4, Loads: 2, LoadEvery: time.Second, LoadTimeout: time.Minute})
+		p := rollout.NewPlanner(rollout.Config{MaxPerEngine: 4, MaxLoads: 2, LoadInterval: time.Second, LoadTimeout: time.Minute})
 		var engines []rollout.Engine
 		for i := range 10 {
 			engines = append(engines, rollout.Engine{Name: fmt.Sprint("e", i)})
