--- a/decide/claim/claim.go
+++ b/decide/claim/claim.go
@@ -7,9 +7,6 @@
 // that segment itself, which fences off the previous owner: its next update fails. Two
 // concurrent owners cost throughput but never run a request twice.
 //
-// The store's era increases each time the store is restored from an older copy and may have
-// lost recent writes.
-//
 // The package does no I/O and reads no clock.
 package claim
 
@@ -116,7 +113,7 @@
 	Shard   int
 	Objects []objectapi.Object
 	Err     error
-	// Era is the store's era before the call.
+	// Era is the store's era before the call; EraReported explains it.
 	Era uint64
 }
 
--- a/decide/claim/recovery.go
+++ b/decide/claim/recovery.go
@@ -119,8 +119,7 @@
 	}
 }
 
-// handleReclaim adds a claim that was granted in an earlier era of the store and is missing
-// in the ledger.
+// handleReclaim adds a claim of an earlier era that is missing in the ledger.
 func (s *shard) handleReclaim(now time.Duration, c *peerpb.Reclaim) {
 	k := KeyOf(c.Customer, c.Key)
 	if !s.owned || s.keys[k] != nil {
--- a/decide/claim/shard.go
+++ b/decide/claim/shard.go
@@ -140,8 +140,7 @@
 	s.advance(now)
 }
 
-// advance answers the waiting claims that need no commit and starts a commit for the
-// others.
+// advance answers waiting claims that need no commit and starts a commit for the rest.
 func (s *shard) advance(now time.Duration) {
 	if s.state != ready {
 		return
@@ -205,8 +204,7 @@
 	s.m.emit(Reply{To: to, Reply: r})
 }
 
-// commit writes the last segment with the dirty entries and the waiting claims, one claim
-// for each key.
+// commit writes the last segment with the dirty entries and one waiting claim per key.
 func (s *shard) commit(now time.Duration) {
 	s.batch = s.dirty
 	s.dirty = nil
--- a/decide/poison/disseminator.go
+++ b/decide/poison/disseminator.go
@@ -9,9 +9,8 @@
 	// fanOut is the number of instances that a change is sent to. With five, a change
 	// reaches 99 % of the instances when each forwards it once; gossip reaches the rest.
 	fanOut = 5
-	// repairInterval is the minimum time between two full transfers to instances with
-	// another state. While two changes in quick succession spread, all digests differ for a
-	// moment.
+	// repairInterval is the minimum time between two full transfers. While two changes in
+	// quick succession spread, all digests differ for a moment.
 	repairInterval = 300 * time.Millisecond
 )
 
--- a/decide/poison/table.go
+++ b/decide/poison/table.go
@@ -16,9 +16,8 @@
 	// reports of other instances, poisonThreshold that from which it is not run any more.
 	suspectThreshold = 2
 	poisonThreshold  = 3
-	// maxThreshold is the number of successive crashes from which a request is not run even
-	// if chance or another request may explain them. It costs three more servers than
-	// poisonThreshold.
+	// maxThreshold is the number from which a request is not run even if chance or another
+	// request may explain its crashes: three servers more than poisonThreshold.
 	maxThreshold = 6
 	// exitWindow is the time over which exits of servers are counted. maxChance is the
 	// probability below which a number of crashes is not attributed to chance: of a million
@@ -38,8 +37,7 @@
 	quarantineGrowth  = 10
 	maxQuarantine     = 4 * time.Hour
 	// quarantineRetention is how long a record is kept after its quarantine,
-	// suspectRetention how long that of a request that was not quarantined, or was
-	// answered.
+	// suspectRetention how long any other record is kept.
 	quarantineRetention = 10 * time.Minute
 	suspectRetention    = 2 * time.Minute
 	// maxRecords bounds the table, at about 150 bytes a record. maxExits bounds the exits
--- a/decide/poison/table_test.go
+++ b/decide/poison/table_test.go
@@ -24,8 +24,7 @@
 	return poison.Crash{Server: server, Began: at - 100*ms, Ended: at}
 }
 
-// propagated returns a time at which all instances have the reports of a crash at the given
-// time.
+// propagated returns a time by which all instances know of a crash at the given time.
 func propagated(at time.Duration) time.Duration { return at + 200*ms }
 
 var _ = Describe("requests that were running when servers crashed", func() {
@@ -185,8 +184,7 @@
 		Expect(t.Assess(propagated(3*time.Second), key(1), fleetSize).Verdict).To(Equal(poison.Clean))
 	})
 
-	// Instances that receive the same reports in another order, or twice, must assess
-	// alike.
+	// Instances must assess alike whatever the order of the reports and their duplicates.
 	It("are assessed alike whatever the order of the reports", func() {
 		rapid.Check(GinkgoT(), func(rt *rapid.T) {
 			var reports []poison.Record
