--- a/control/loads/loads.go
+++ b/control/loads/loads.go
@@ -128,12 +128,12 @@
 	defer l.mu.Unlock()
 	now := l.now()
 	l.ledger.Advance(now)
-	p, v := choose(l.ledger.Of, l.queue)
+	p, v := choose(l.ledger.Total, l.queue)
 	if v != spread.Placed {
 		return p, v
 	}
 	for i, part := range p.Parts {
-		p.Parts[i].Noted = l.ledger.Place(now, part)
+		p.Parts[i].Recorded = l.ledger.Place(now, part)
 	}
 	l.wake()
 	return p, spread.Placed
@@ -145,8 +145,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, part := range p.Parts {
-		l.ledger.EndRead(part.Server.ID, part.Noted)
-		l.ledger.Sub(part.Server.ID, part.Load.Begun())
+		l.ledger.EndPrefill(part.Server.ID, part.Recorded)
+		l.ledger.Sub(part.Server.ID, part.Load.PrefillPhase())
 	}
 	l.wake()
 }
@@ -156,7 +156,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, part := range p.Parts {
-		l.ledger.Sub(part.Server.ID, part.Load.Writing())
+		l.ledger.Sub(part.Server.ID, part.Load.DecodePhase())
 	}
 	l.wake()
 }
@@ -169,7 +169,7 @@
 
 // Leave ends what Hold noted.
 func (l *Loads) Leave(request string) {
-	l.onQueue(func(q *spread.Queue) { q.Leave(request) })
+	l.onQueue(func(q *spread.Queue) { q.Release(request) })
 }
 
 // WaitForSlot adds n to the requests that wait here for a free slot.
@@ -189,7 +189,7 @@
 // mates told. silent tells that the store has told nothing for a while.
 func (l *Loads) TurnedAway(s backends.Server, silent bool) {
 	l.mu.Lock()
-	pause, fresh := l.away.TurnedAway(l.now(), away.KeyOf(s), silent)
+	pause, fresh := l.away.RecordRejection(l.now(), away.KeyOf(s), silent)
 	l.wake()
 	l.mu.Unlock()
 	if fresh {
@@ -203,7 +203,7 @@
 func (l *Loads) Present(servers []backends.Server) []backends.Server {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.away.Present(l.now(), servers)
+	return l.away.Available(l.now(), servers)
 }
 
 // Of returns the work of all instances on a server.
@@ -211,7 +211,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ledger.Advance(l.now())
-	return l.ledger.Of(server)
+	return l.ledger.Total(server)
 }
 
 // Backlog returns the mean reading that servers have before them.
@@ -219,7 +219,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ledger.Advance(l.now())
-	return spread.Backlog(servers, l.ledger.Of)
+	return spread.Backlog(servers, l.ledger.Total)
 }
 
 // Blind reports whether this instance began too recently to know what others
@@ -287,19 +287,19 @@
 	changed := l.ledger.TakeChanged(now)
 	latest := changed
 	if complete {
-		changed = l.ledger.All(now)
+		changed = l.ledger.AllLocalWork(now)
 	} else {
 		changed = l.withLast(now, changed)
 	}
 	l.last, l.lastAt = latest, now
 	l.reported++
 	sequence := l.reported
-	waiting := l.queue.Tell(now)
-	turnedAway := l.away.Tell(now)
+	waiting := l.queue.TakeState(now)
+	turnedAway := l.away.Observed(now)
 	mates := l.cell.Mates
 	l.mu.Unlock()
 	msg := &peerpb.LoadReport{Complete: complete, Sequence: sequence, ForSlot: int32(waiting.ForSlot)}
-	if waiting.Held {
+	if waiting.HasFirst {
 		msg.Held = heldPrompt(now, waiting.First)
 	}
 	encodeWork(msg, changed)
@@ -318,7 +318,7 @@
 		out = map[spread.Key]spread.Work{}
 	}
 	for server := range l.last {
-		out[server] = l.ledger.Own(now, server)
+		out[server] = l.ledger.LocalWork(now, server)
 	}
 	return out
 }
@@ -356,10 +356,10 @@
 		return
 	}
 	l.newest[from] = id
-	l.ledger.Report(l.now(), from, r.Complete, work)
-	l.queue.Report(l.now(), from, waitingOf(l.now(), r))
+	l.ledger.ApplyReport(l.now(), from, r.Complete, work)
+	l.queue.ApplyReport(l.now(), from, waitingOf(l.now(), r))
 	for server, left := range turnedAway {
-		l.away.Told(l.now(), server, left)
+		l.away.ApplyReport(l.now(), server, left)
 	}
 	if r.Complete {
 		l.heard[from] = true
@@ -370,16 +370,16 @@
 // common clock.
 func heldPrompt(now time.Duration, t spread.Turn) *peerpb.HeldPrompt {
 	return &peerpb.HeldPrompt{
-		Request: t.Request, Weight: t.Weight, WaitedUs: (now - t.Since).Microseconds(),
-		UsefulUs: t.Useful.Microseconds(), LateAfterUs: t.LateAfter.Microseconds(),
+		Request: t.Request, Weight: t.Weight, WaitedUs: (now - t.Arrived).Microseconds(),
+		UsefulUs: t.FirstTarget.Microseconds(), LateAfterUs: t.LateAfter.Microseconds(),
 	}
 }
 
 func waitingOf(now time.Duration, r *peerpb.LoadReport) spread.Waiting {
 	w := spread.Waiting{ForSlot: int(r.ForSlot)}
 	if h := r.Held; h != nil {
-		w.First, w.Held = spread.Turn{
-			Request: h.Request, Weight: h.Weight, Since: now - peerpb.Micros(h.WaitedUs), Useful: peerpb.Micros(h.UsefulUs), LateAfter: peerpb.Micros(h.LateAfterUs),
+		w.First, w.HasFirst = spread.Turn{
+			Request: h.Request, Weight: h.Weight, Arrived: now - peerpb.Micros(h.WaitedUs), FirstTarget: peerpb.Micros(h.UsefulUs), LateAfter: peerpb.Micros(h.LateAfterUs),
 		}, true
 	}
 	return w
@@ -403,8 +403,8 @@
 	}
 	l.cell, l.mates = next, mates
 	l.members.SetNeighbours(neighboursOf(l.link.Self(), next, live))
-	l.ledger.Keep(mates)
-	l.queue.Keep(mates)
+	l.ledger.RetainPeers(mates)
+	l.queue.RetainPeers(mates)
 	for peer := range l.heard {
 		if !mates[peer] {
 			delete(l.heard, peer)
@@ -456,9 +456,9 @@
 		return d
 	}
 	for _, s := range list.All() {
-		note(d.Totals, s.ID, l.ledger.Of(s.ID))
-		note(d.Own, s.ID, l.ledger.OwnOf(s.ID))
-		if l.away.Out(l.now(), away.KeyOf(s)) {
+		note(d.Totals, s.ID, l.ledger.Total(s.ID))
+		note(d.Own, s.ID, l.ledger.LocalLoad(s.ID))
+		if l.away.PassedOver(l.now(), away.KeyOf(s)) {
 			d.PassedOver = append(d.PassedOver, s.ID)
 		}
 	}
