--- a/control/members/members.go
+++ b/control/members/members.go
@@ -131,7 +131,7 @@
 	if m.FailBase > 0 {
 		cfg.FailBase = m.FailBase.Std()
 	}
-	cfg.FailMost, cfg.FailDistant = m.FailMost.Std(), m.FailDistant.Std()
+	cfg.MaxFailAfter, cfg.FailDistant = m.FailMost.Std(), m.FailDistant.Std()
 	if m.PollList == 0 {
 		m.PollList = settings.Duration(defaultPollList)
 	}
@@ -184,7 +184,7 @@
 		m.inbox.Offer(env.GetGossip())
 	case env.GetMemberSilent() != nil:
 		m.mu.Lock()
-		m.table.FellSilent(m.now(), from, env.GetMemberSilent())
+		m.table.RecordSilence(m.now(), from, env.GetMemberSilent())
 		m.mu.Unlock()
 	}
 }
@@ -192,7 +192,7 @@
 // tellOfSilence tells the other cells of mates that fell silent.
 func (m *Members) tellOfSilence() {
 	m.mu.Lock()
-	silent := m.table.Silent(m.now())
+	silent := m.table.NewlySilent(m.now())
 	m.mu.Unlock()
 	for _, s := range silent {
 		for _, peer := range m.Peers() {
@@ -249,7 +249,7 @@
 // answer gossips with members that spoke to this one before it knew them.
 func (m *Members) answer() {
 	m.mu.Lock()
-	msgs := m.table.Answers(m.now())
+	msgs := m.table.Replies(m.now())
 	m.mu.Unlock()
 	m.send(msgs)
 }
--- a/decide/member/detect_test.go
+++ b/decide/member/detect_test.go
@@ -51,7 +51,7 @@
 
 func newNetwork(n int, seed uint64, maxFailAfter time.Duration, lossRate float64) *network {
 	cfg := member.DefaultConfig()
-	cfg.Period, cfg.FailBase, cfg.FailMost, cfg.FailDistant = 400*time.Millisecond, 700*time.Millisecond, maxFailAfter, failDistant
+	cfg.Period, cfg.FailBase, cfg.MaxFailAfter, cfg.FailDistant = 400*time.Millisecond, 700*time.Millisecond, maxFailAfter, failDistant
 	f := &network{rand: rand.New(rand.NewPCG(seed, 1)), failedMember: -1, lossRate: lossRate, delayed: map[time.Duration][]func(){}, cellPeers: map[int]map[*member.Table]bool{}, views: map[int][]string{}}
 	var contacts []member.Contact
 	for i := range n {
@@ -86,13 +86,13 @@
 // of life.
 func (f *network) sendAll(i int) {
 	f.updateCell(i)
-	for _, m := range append(f.tables[i].Answers(f.now), f.tables[i].Tick(f.now)...) {
+	for _, m := range append(f.tables[i].Replies(f.now), f.tables[i].Tick(f.now)...) {
 		if to := slices.Index(f.names, m.To); to >= 0 && to != f.failedMember {
 			f.send(func() { f.tables[to].Receive(f.now, m.Gossip) })
 		}
 	}
-	for _, s := range f.tables[i].Silent(f.now) {
-		f.broadcast(i, func(t *member.Table) { t.FellSilent(f.now, f.names[i], s) })
+	for _, s := range f.tables[i].NewlySilent(f.now) {
+		f.broadcast(i, func(t *member.Table) { t.RecordSilence(f.now, f.names[i], s) })
 	}
 	if int(f.now/step)%int(heartbeatEvery/step) != i%int(heartbeatEvery/step) {
 		return
@@ -189,7 +189,7 @@
 	return defaultCount
 }
 
-// Guards against directories that name a failed instance for seconds. Without FailMost the
+// Guards against directories that name a failed instance for seconds. Without MaxFailAfter the
 // timeout of 74 instances is 4.4 s, because gossip needs that long to reach everyone, and late
 // heartbeats relayed by others count from their arrival; detection then takes 4.2 s among 74
 // and 5.6 s among 300.
@@ -244,7 +244,7 @@
 	DescribeTable("discovers all members within three seconds with up to 300, one round more with 350", func(n int, seed uint64, within time.Duration) {
 		f := newNetwork(n, seed, 2200*time.Millisecond, 0)
 		cfg := member.DefaultConfig()
-		cfg.Period, cfg.FailBase, cfg.FailMost, cfg.FailDistant = 400*time.Millisecond, 700*time.Millisecond, 2200*time.Millisecond, failDistant
+		cfg.Period, cfg.FailBase, cfg.MaxFailAfter, cfg.FailDistant = 400*time.Millisecond, 700*time.Millisecond, 2200*time.Millisecond, failDistant
 		var seeds []member.Contact
 		for _, name := range f.names[:min(3, n)] {
 			seeds = append(seeds, member.Contact{Name: name})
--- a/decide/member/neighbours.go
+++ b/decide/member/neighbours.go
@@ -65,9 +65,9 @@
 // cells. One is not enough: it may fail at the same moment, and datagrams get lost.
 const silenceReporters = 4
 
-// Silent returns the cell peers that fell silent since the last call and whose silence this
+// NewlySilent returns the cell peers that fell silent since the last call and whose silence this
 // member reports to the other cells.
-func (t *Table) Silent(now time.Duration) []*peerpb.MemberSilent {
+func (t *Table) NewlySilent(now time.Duration) []*peerpb.MemberSilent {
 	var out []*peerpb.MemberSilent
 	for _, name := range t.order {
 		e := t.entries[name]
@@ -108,12 +108,12 @@
 	at time.Duration
 }
 
-// FellSilent records a report that a member fell silent, sent by one of its cell peers. A
+// RecordSilence records a report that a member fell silent, sent by one of its cell peers. A
 // later sign of life revives the member. For a member of another cell one report is enough.
 // For a peer in the same cell, whose signs of life arrive here directly, two reporters must
 // agree within reportWindow: one may itself have lost several packets in a row. More than two
 // are not required, since late packets may make a reporter miss the silence.
-func (t *Table) FellSilent(now time.Duration, by string, s *peerpb.MemberSilent) {
+func (t *Table) RecordSilence(now time.Duration, by string, s *peerpb.MemberSilent) {
 	e := t.entries[s.Name]
 	if e == nil || e.contact || e.state.Incarnation > s.Incarnation {
 		return
--- a/decide/member/table.go
+++ b/decide/member/table.go
@@ -27,10 +27,10 @@
 	// considered dead. The timeout grows with the logarithm of the fleet's
 	// size, as does the time that a heartbeat needs to reach everyone.
 	FailBase time.Duration
-	// FailMost caps that timeout in large fleets; zero means no cap. It requires direct
+	// MaxFailAfter caps that timeout in large fleets; zero means no cap. It requires direct
 	// signs of life (Heard) at least every half of it, since gossip takes longer to reach
 	// everyone.
-	FailMost time.Duration
+	MaxFailAfter time.Duration
 	// FailDistant is the silence after which a member of another cell is considered dead
 	// if none of its cell peers reports its silence; zero applies the general timeout.
 	FailDistant time.Duration
@@ -58,7 +58,7 @@
 	silentSince time.Duration
 	// lastReport is the latest report of a cell peer that the member fell silent.
 	lastReport silenceReport
-	// aliveAtCheck tells whether the member was alive at the last call of Silent.
+	// aliveAtCheck tells whether the member was alive at the last call of NewlySilent.
 	aliveAtCheck bool
 	// contact marks a name known only from the instance list or the settings.
 	contact bool
@@ -159,10 +159,10 @@
 	return e != nil && t.alive(now, e)
 }
 
-// Answers returns replies to members that sent gossip before they were known here. Without
+// Replies returns replies to members that sent gossip before they were known here. Without
 // them an instance that starts would know nobody until another member picks it as a gossip
 // target at random.
-func (t *Table) Answers(now time.Duration) []Message {
+func (t *Table) Replies(now time.Duration) []Message {
 	var out []Message
 	for _, name := range t.newSenders {
 		out = append(out, Message{To: name, Gossip: &peerpb.Gossip{Members: t.sample(now)}})
@@ -237,11 +237,11 @@
 }
 
 // lastSign returns the time of the sign of life in an entry that arrives now. Where members
-// also send direct signs of life (FailMost is set), the entry's age is subtracted, so that
+// also send direct signs of life (MaxFailAfter is set), the entry's age is subtracted, so that
 // late gossip doesn't keep a dead member alive. By gossip alone, FailAfter already allows
 // for the propagation time; subtracting the age as well declared live members of 100 dead.
 func (t *Table) lastSign(now time.Duration, s *peerpb.MemberState) time.Duration {
-	if t.cfg.FailMost <= 0 {
+	if t.cfg.MaxFailAfter <= 0 {
 		return now
 	}
 	return now - time.Duration(s.AgeMs)*time.Millisecond
@@ -267,8 +267,8 @@
 func (t *Table) FailAfter() time.Duration {
 	n := float64(max(2, len(t.entries)+1))
 	after := time.Duration(float64(t.cfg.FailBase) * math.Log2(n))
-	if t.cfg.FailMost > 0 {
-		after = min(after, t.cfg.FailMost)
+	if t.cfg.MaxFailAfter > 0 {
+		after = min(after, t.cfg.MaxFailAfter)
 	}
 	return after
 }
--- a/decide/member/table_test.go
+++ b/decide/member/table_test.go
@@ -123,7 +123,7 @@
 		self := member.NewTable(&peerpb.MemberState{Name: "a", Incarnation: 1}, member.DefaultConfig(), rand.New(rand.NewPCG(1, 1)))
 		receive := func(s *peerpb.MemberState) []member.Message {
 			self.Receive(time.Second, &peerpb.Gossip{Members: []*peerpb.MemberState{s, {Name: "c", Incarnation: 1, Version: s.Version}}})
-			return self.Answers(time.Second)
+			return self.Replies(time.Second)
 		}
 		first := receive(&peerpb.MemberState{Name: "b", Incarnation: 1})
 		Expect(first).To(HaveLen(1))
