--- a/control/loads/loads.go
+++ b/control/loads/loads.go
@@ -296,7 +296,7 @@
 	sequence := l.reported
 	waiting := l.queue.TakeState(now)
 	turnedAway := l.away.Observed(now)
-	mates := l.cell.Mates
+	mates := l.cell.Peers
 	l.mu.Unlock()
 	msg := &peerpb.LoadReport{Complete: complete, Sequence: sequence, ForSlot: int32(waiting.ForSlot)}
 	if waiting.HasFirst {
@@ -392,8 +392,8 @@
 		live = append(live, m.Name)
 	}
 	next := cell.Of(l.link.Self(), live, l.fewestEngines())
-	mates := make(map[string]bool, len(next.Mates))
-	for _, m := range next.Mates {
+	mates := make(map[string]bool, len(next.Peers))
+	for _, m := range next.Peers {
 		mates[m] = true
 	}
 	l.mu.Lock()
@@ -418,7 +418,7 @@
 	if c.Count <= 1 {
 		return member.Neighbours{}
 	}
-	return member.NeighboursOf(self, c.Mates, live)
+	return member.NeighboursOf(self, c.Peers, live)
 }
 
 // fewestEngines is the number of ready servers of the model service that has fewest, zero
@@ -449,7 +449,7 @@
 func (l *Loads) Dump() any {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	d := Dump{Cell: l.cell.Index, Cells: l.cell.Count, Mates: l.cell.Mates, Totals: map[string]spread.Load{}, Own: map[string]spread.Load{}}
+	d := Dump{Cell: l.cell.Index, Cells: l.cell.Count, Mates: l.cell.Peers, Totals: map[string]spread.Load{}, Own: map[string]spread.Load{}}
 	l.ledger.Advance(l.now())
 	list := l.catalog.Servers()
 	if list == nil {
--- a/control/loads/loads_test.go
+++ b/control/loads/loads_test.go
@@ -29,7 +29,7 @@
 	BeforeEach(func() {
 		l = &Loads{
 			log: zap.NewNop(), scope: tally.NoopScope, now: func() time.Duration { return time.Second }, ledger: spread.NewLedger(), queue: spread.NewQueue(), away: away.NewTable(func() float64 { return 0 }),
-			dirty: make(chan struct{}, 1), heard: map[string]bool{}, newest: map[string]reportID{}, cell: cell.Cell{Count: 2, Mates: []string{"a", "b"}}, mates: map[string]bool{"a": true, "b": true},
+			dirty: make(chan struct{}, 1), heard: map[string]bool{}, newest: map[string]reportID{}, cell: cell.Cell{Count: 2, Peers: []string{"a", "b"}}, mates: map[string]bool{"a": true, "b": true},
 		}
 	})
 
--- a/decide/cell/cell.go
+++ b/decide/cell/cell.go
@@ -42,8 +42,8 @@
 type Cell struct {
 	// Index is the number of the cell, from 0 to Count-1.
 	Index, Count int
-	// Mates are the other instances of the cell.
-	Mates []string
+	// Peers are the other instances of the cell.
+	Peers []string
 }
 
 // Of returns the cell of self; live are all live instances, self included. engines is the
@@ -63,7 +63,7 @@
 			continue
 		}
 		c.Index = i
-		c.Mates = slices.DeleteFunc(slices.Clone(order[from:to]), func(name string) bool { return name == self })
+		c.Peers = slices.DeleteFunc(slices.Clone(order[from:to]), func(name string) bool { return name == self })
 	}
 	return c
 }
--- a/decide/cell/cell_test.go
+++ b/decide/cell/cell_test.go
@@ -43,9 +43,9 @@
 			c := cells[self]
 			Expect(c.Count).To(Equal(count))
 			if count > 1 {
-				Expect(len(c.Mates) + 1).To(And(BeNumerically(">=", 50), BeNumerically("<=", 100)))
+				Expect(len(c.Peers) + 1).To(And(BeNumerically(">=", 50), BeNumerically("<=", 100)))
 			}
-			for _, m := range c.Mates {
+			for _, m := range c.Peers {
 				if cells[m].Index != c.Index {
 					Fail("an instance of another cell counts as a member of this one")
 				}
--- a/decide/member/detect_test.go
+++ b/decide/member/detect_test.go
@@ -131,9 +131,9 @@
 	}
 	f.views[i] = live
 	if c := cell.Of(f.names[i], live, engines); c.Count > 1 {
-		f.tables[i].SetNeighbours(member.NeighboursOf(f.names[i], c.Mates, live))
+		f.tables[i].SetNeighbours(member.NeighboursOf(f.names[i], c.Peers, live))
 		f.cellPeers[i] = map[*member.Table]bool{}
-		for _, name := range c.Mates {
+		for _, name := range c.Peers {
 			f.cellPeers[i][f.tables[slices.Index(f.names, name)]] = true
 		}
 	}
--- a/decide/member/neighbours.go
+++ b/decide/member/neighbours.go
@@ -20,9 +20,9 @@
 // Neighbours are the members with which an instance gossips in a fleet of several cells. Its
 // number of connections then depends neither on the size of the fleet nor on that of a cell.
 type Neighbours struct {
-	// Mates are the other members of the same cell. They send each other signs of life more
+	// CellPeers are the other members of the same cell. They send each other signs of life more
 	// often than members of other cells do, and report when one of them falls silent.
-	Mates []string
+	CellPeers []string
 	// Near are gossip partners in the same cell, Far in other cells.
 	Near, Far []string
 }
@@ -31,7 +31,7 @@
 // cell. The choice hashes names, so a member that joins or leaves changes at most one neighbour.
 func NeighboursOf(self string, cellPeers, live []string) Neighbours {
 	others := slices.DeleteFunc(slices.Clone(live), func(name string) bool { return name == self || slices.Contains(cellPeers, name) })
-	return Neighbours{Mates: cellPeers, Near: lowestHashes(self, cellPeers, maxNear), Far: lowestHashes(self, others, maxFar)}
+	return Neighbours{CellPeers: cellPeers, Near: lowestHashes(self, cellPeers, maxNear), Far: lowestHashes(self, others, maxFar)}
 }
 
 // lowestHashes returns the n names with the lowest hashes of self and the name.
@@ -50,7 +50,7 @@
 func (t *Table) SetNeighbours(n Neighbours) {
 	t.neighbours = n
 	t.cellPeers = map[string]bool{}
-	for _, name := range n.Mates {
+	for _, name := range n.CellPeers {
 		t.cellPeers[name] = true
 	}
 	for name, e := range t.entries {
