--- a/control/follow/follow.go
+++ b/control/follow/follow.go
@@ -101,7 +101,7 @@
 	// newest, configRead whether any was read or came from a peer.
 	configAt   position.Position
 	configRead bool
-	news       *watch.News
+	news       *watch.Confirmations
 	direct     map[string]time.Duration
 	// era is the era of the store that news and direct belong to.
 	era uint64
@@ -135,7 +135,7 @@
 	f.holds = knowledge.Policy{HoldsFor: f.policy.StaleAfter}
 	f.log, f.now, f.name, f.scope, f.catalog = c.Log, c.Now, c.Self.Name, c.Scope, src.Catalog()
 	f.set, f.bad = backends.NewSet(), unreadable{}
-	f.news, f.direct = watch.NewNews(), map[string]time.Duration{}
+	f.news, f.direct = watch.NewConfirmations(), map[string]time.Duration{}
 	f.inbox = ring.New[configFrom]("catalog.inbox", inboxSize)
 	f.newer = ring.New[offer]("catalog.newer", inboxSize)
 	f.members.Carry(f.tell)
--- a/control/follow/peers.go
+++ b/control/follow/peers.go
@@ -68,7 +68,7 @@
 	}
 	for _, c := range confirmed {
 		at := now - time.Duration(c.AgeMs)*time.Millisecond
-		f.news.Note(watch.Heard{By: c.By, At: at})
+		f.news.Record(watch.Confirmation{By: c.By, At: at})
 		newest = max(newest, at)
 	}
 	f.mu.Unlock()
@@ -131,7 +131,7 @@
 	f.direct[what] = f.now()
 	at := min(f.direct[whatConfig], f.direct[whatServers])
 	if at > 0 {
-		f.news.Note(watch.Heard{By: f.name, At: at})
+		f.news.Record(watch.Confirmation{By: f.name, At: at})
 		f.confirm(at)
 	}
 }
--- a/decide/watch/confirmations.go
+++ b/decide/watch/confirmations.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// Heard tells when an instance that watches the store last got an answer from it, by the
+// Confirmation tells when an instance that watches the store last got an answer from it, by the
 // local clock.
-type Heard struct {
+type Confirmation struct {
 	By string
 	At time.Duration
 }
 
-// News holds when the watching instances last got an answer from the store, as reported by
+// Confirmations holds when the watching instances last got an answer from the store, as reported by
 // themselves or relayed by others. It must be used by one goroutine at a time.
-type News struct{ latest map[string]time.Duration }
+type Confirmations struct{ latest map[string]time.Duration }
 
-// NewNews returns the empty News of an instance that starts.
-func NewNews() *News { return &News{latest: map[string]time.Duration{}} }
+// NewConfirmations returns the empty Confirmations of an instance that starts.
+func NewConfirmations() *Confirmations { return &Confirmations{latest: map[string]time.Duration{}} }
 
 // keepFor is how long an entry is kept and relayed. It is above any StaleAfter, so that no
 // entry that still matters is dropped.
 const keepFor = 40 * time.Second
 
-// Note records an entry if it is newer than the known one of that instance.
-func (n *News) Note(h Heard) {
+// Record records an entry if it is newer than the known one of that instance.
+func (n *Confirmations) Record(h Confirmation) {
 	if at, known := n.latest[h.By]; !known || h.At > at {
 		n.latest[h.By] = h.At
 	}
@@ -35,7 +35,7 @@
 // Age returns the time since the newest entry of an included instance. Without one, the
 // time counts from the start of this process: the others get time to report before this
 // instance asks the store itself.
-func (n *News) Age(now time.Duration, include func(by string) bool) time.Duration {
+func (n *Confirmations) Age(now time.Duration, include func(by string) bool) time.Duration {
 	last := time.Duration(0)
 	for by, at := range n.latest {
 		if include(by) {
@@ -46,12 +46,12 @@
 }
 
 // Newest drops outdated entries and returns the newest of the others, at most limit.
-func (n *News) Newest(now time.Duration, limit int) []Heard {
+func (n *Confirmations) Newest(now time.Duration, limit int) []Confirmation {
 	maps.DeleteFunc(n.latest, func(_ string, at time.Duration) bool { return now-at > keepFor })
-	out := make([]Heard, 0, len(n.latest))
+	out := make([]Confirmation, 0, len(n.latest))
 	for by, at := range n.latest {
-		out = append(out, Heard{by, at})
+		out = append(out, Confirmation{by, at})
 	}
-	slices.SortFunc(out, func(a, b Heard) int { return cmp.Or(cmp.Compare(b.At, a.At), cmp.Compare(a.By, b.By)) })
+	slices.SortFunc(out, func(a, b Confirmation) int { return cmp.Or(cmp.Compare(b.At, a.At), cmp.Compare(a.By, b.By)) })
 	return out[:min(limit, len(out))]
 }
--- a/decide/watch/watch_test.go
+++ b/decide/watch/watch_test.go
@@ -199,15 +199,15 @@
 
 var _ = Describe("the last answers of the store", func() {
 	It("are as old as the newest entry, or as the process without any", func() {
-		n := watch.NewNews()
+		n := watch.NewConfirmations()
 		all := func(string) bool { return true }
 		Expect(n.Age(3*time.Second, all)).To(Equal(3 * time.Second))
-		n.Note(watch.Heard{By: "a", At: 5 * time.Second})
-		n.Note(watch.Heard{By: "a", At: 2 * time.Second})
-		n.Note(watch.Heard{By: "b", At: 7 * time.Second})
+		n.Record(watch.Confirmation{By: "a", At: 5 * time.Second})
+		n.Record(watch.Confirmation{By: "a", At: 2 * time.Second})
+		n.Record(watch.Confirmation{By: "b", At: 7 * time.Second})
 		Expect(n.Age(8*time.Second, all)).To(Equal(time.Second))
 		Expect(n.Age(8*time.Second, func(by string) bool { return by == "a" })).To(Equal(3 * time.Second))
-		Expect(n.Newest(8*time.Second, 1)).To(Equal([]watch.Heard{{By: "b", At: 7 * time.Second}}))
+		Expect(n.Newest(8*time.Second, 1)).To(Equal([]watch.Confirmation{{By: "b", At: 7 * time.Second}}))
 		Expect(n.Newest(100*time.Second, 8)).To(BeEmpty())
 	})
 })
@@ -225,11 +225,11 @@
 	p := watch.Policy{StaleAfter: wait + 1600*time.Millisecond, Step: time.Second}
 	members := fleet(n, dataCentres)
 	var standings []watch.Standing
-	var news []*watch.News
+	var news []*watch.Confirmations
 	answerAt := make([]time.Duration, n)
 	for i := range members {
 		standings = append(standings, standing(i, members))
-		news = append(news, watch.NewNews())
+		news = append(news, watch.NewConfirmations())
 		answerAt[i] = -1
 	}
 	for now := time.Duration(0); now < length; now += tick {
@@ -242,7 +242,7 @@
 			case answerAt[i] < 0:
 				answerAt[i] = now + wait
 			case now >= answerAt[i] && !disconnected(m.Name):
-				news[i].Note(watch.Heard{By: m.Name, At: now})
+				news[i].Record(watch.Confirmation{By: m.Name, At: now})
 				answerAt[i] = now + wait
 			}
 			if due {
@@ -251,7 +251,7 @@
 			for range 2 {
 				to := r.IntN(n)
 				for _, h := range news[i].Newest(now, 8) {
-					news[to].Note(h)
+					news[to].Record(h)
 				}
 			}
 		}
