--- a/control/follow/config.go
+++ b/control/follow/config.go
@@ -108,7 +108,7 @@
 		f.compareWithStore(c.Config.Version, at)
 	}
 	if c != nil && f.adopt(*c, "store", deflate(c.Raw)) {
-		f.passConfig(f.members.Standing().First())
+		f.passConfig(f.members.Standing().FirstTargets())
 		f.members.SpreadNow()
 	}
 	return at, nil
@@ -202,7 +202,7 @@
 	}
 	f.noteConfigAt(c.At)
 	if !first {
-		f.passConfig(f.members.Standing().Next())
+		f.passConfig(f.members.Standing().Children())
 	}
 }
 
--- a/control/follow/servers.go
+++ b/control/follow/servers.go
@@ -44,7 +44,7 @@
 		return f.set.Replace(now, l.Servers, l.At)
 	})
 	if before != nil && (changed || before.At.Era < l.At.Era) {
-		f.passServers(f.members.Standing().First(), wholeList(f.Servers(), f.Age()))
+		f.passServers(f.members.Standing().FirstTargets(), wholeList(f.Servers(), f.Age()))
 	}
 }
 
@@ -59,7 +59,7 @@
 		return f.set.Apply(now, l.Changes, l.At)
 	})
 	if changed {
-		f.passServers(f.members.Standing().First(), changedList(before, l))
+		f.passServers(f.members.Standing().FirstTargets(), changedList(before, l))
 	}
 }
 
@@ -141,7 +141,7 @@
 		return f.set.Replace(now, serversOf(r), at)
 	})
 	if held != nil && (taken || held.At.Era < at.Era) {
-		f.passServers(f.members.Standing().Next(), r)
+		f.passServers(f.members.Standing().Children(), r)
 	}
 }
 
--- a/control/follow/watch.go
+++ b/control/follow/watch.go
@@ -163,7 +163,7 @@
 	st := f.members.Standing()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.policy.Due(st, f.news.Age(now, st.Before))
+	return f.policy.ShouldWatch(st, f.news.Age(now, st.PrecededBy))
 }
 
 // noteDuty logs when this instance begins or ceases to watch, and why.
--- a/control/members/members.go
+++ b/control/members/members.go
@@ -409,7 +409,7 @@
 		}
 		others = append(others, w)
 	}
-	return watch.Stand(self, others)
+	return watch.StandingOf(self, others)
 }
 
 // Standing is the place of this instance among those of its data centre.
--- a/decide/watch/watch.go
+++ b/decide/watch/watch.go
@@ -51,10 +51,10 @@
 	rankOf map[string]int
 }
 
-// Stand returns the standing of self. All instances with the same list compute the same
+// StandingOf returns the standing of self. All instances with the same list compute the same
 // order (rendezvous hashing). A member that joins or leaves doesn't change the relative order
 // of the others.
-func Stand(self Member, members []Member) Standing {
+func StandingOf(self Member, members []Member) Standing {
 	groups := map[string][]Member{self.DataCentre: nil}
 	for _, m := range members {
 		if m.Name != self.Name {
@@ -106,9 +106,9 @@
 // Primary reports whether this instance always watches.
 func (s Standing) Primary() bool { return s.Rank < s.Watchers }
 
-// Before reports whether an instance, of any data centre, has a lower rank than this one and
+// PrecededBy reports whether an instance, of any data centre, has a lower rank than this one and
 // so watches before it.
-func (s Standing) Before(name string) bool {
+func (s Standing) PrecededBy(name string) bool {
 	r, known := s.rankOf[name]
 	return known && r < s.Rank
 }
@@ -124,9 +124,9 @@
 	Step time.Duration
 }
 
-// Due reports whether an instance watches now; age is that of the last store answer of the
+// ShouldWatch reports whether an instance watches now; age is that of the last store answer of the
 // instances ranked before it.
-func (p Policy) Due(s Standing, age time.Duration) bool {
+func (p Policy) ShouldWatch(s Standing, age time.Duration) bool {
 	return s.Primary() || age >= p.StaleAfter+time.Duration(s.Rank-s.Watchers)*p.Step
 }
 
@@ -135,9 +135,9 @@
 // of 1,400 routes (some 40 KB compressed) in 64 ms.
 const fanOut = 4
 
-// Next returns the instances to which this one forwards content that it got from another
+// Children returns the instances to which this one forwards content that it got from another
 // instance: its children in a tree over the data centre.
-func (s Standing) Next() []string {
+func (s Standing) Children() []string {
 	firstChild := fanOut*s.Rank + 1
 	if firstChild >= len(s.Order) {
 		return nil
@@ -145,17 +145,17 @@
 	return s.Order[firstChild:min(firstChild+fanOut, len(s.Order))]
 }
 
-// First returns the instances to which this one forwards content that it got from the store:
+// FirstTargets returns the instances to which this one forwards content that it got from the store:
 // the top of the tree and its own children. An instance that misses it learns by gossip that
 // there is a newer version, and requests it.
-func (s Standing) First() []string {
+func (s Standing) FirstTargets() []string {
 	var out []string
 	for _, name := range s.Order[:min(fanOut+1, len(s.Order))] {
 		if name != s.Order[s.Rank] {
 			out = append(out, name)
 		}
 	}
-	for _, name := range s.Next() {
+	for _, name := range s.Children() {
 		if !slices.Contains(out, name) {
 			out = append(out, name)
 		}
--- a/decide/watch/watch_test.go
+++ b/decide/watch/watch_test.go
@@ -30,7 +30,7 @@
 }
 
 func standing(self int, members []watch.Member) watch.Standing {
-	return watch.Stand(members[self], members)
+	return watch.StandingOf(members[self], members)
 }
 
 func primaries(members []watch.Member) (out []string) {
@@ -109,7 +109,7 @@
 		p := watch.Policy{StaleAfter: 6 * time.Second, Step: time.Second}
 		due := func(age time.Duration) (n int) {
 			for i := range members {
-				if p.Due(standing(i, members), age) {
+				if p.ShouldWatch(standing(i, members), age) {
 					n++
 				}
 			}
@@ -126,10 +126,10 @@
 		for i := range members {
 			s := standing(i, members)
 			for j, m := range members {
-				Expect(s.Before(m.Name)).To(Equal(standing(j, members).Rank < s.Rank))
+				Expect(s.PrecededBy(m.Name)).To(Equal(standing(j, members).Rank < s.Rank))
 			}
 		}
-		Expect(standing(0, members).Before("nobody")).To(BeFalse())
+		Expect(standing(0, members).PrecededBy("nobody")).To(BeFalse())
 	})
 })
 
@@ -148,7 +148,7 @@
 		index[m.Name] = i
 	}
 	reached = map[string]bool{members[from].Name: true}
-	round := standing(from, members).First()
+	round := standing(from, members).FirstTargets()
 	maxSends = len(round)
 	for len(round) > 0 {
 		var next []string
@@ -158,7 +158,7 @@
 				continue
 			}
 			reached[name] = true
-			out := standing(index[name], members).Next()
+			out := standing(index[name], members).Children()
 			maxSends = max(maxSends, len(out))
 			next = append(next, out...)
 		}
@@ -235,7 +235,7 @@
 	for now := time.Duration(0); now < length; now += tick {
 		count := 0
 		for i, m := range members {
-			due := p.Due(standings[i], news[i].Age(now, standings[i].Before))
+			due := p.ShouldWatch(standings[i], news[i].Age(now, standings[i].PrecededBy))
 			switch {
 			case !due:
 				answerAt[i] = -1
