--- a/control/follow/follow.go
+++ b/control/follow/follow.go
@@ -132,7 +132,7 @@
 	}
 	f.Wait = settings.Duration(f.wait())
 	f.policy = watch.Policy{StaleAfter: f.Wait.Std() + watchSlack + spreadFor, Step: stepFor}
-	f.holds = knowledge.Policy{HoldsFor: f.policy.StaleAfter}
+	f.holds = knowledge.Policy{ValidFor: f.policy.StaleAfter}
 	f.log, f.now, f.name, f.scope, f.catalog = c.Log, c.Now, c.Self.Name, c.Scope, src.Catalog()
 	f.set, f.bad = backends.NewSet(), unreadable{}
 	f.news, f.direct = watch.NewConfirmations(), map[string]time.Duration{}
@@ -182,14 +182,14 @@
 // ConfigState is how far the configuration in force can be relied on.
 func (f *Follower) ConfigState() knowledge.State {
 	at := time.Duration(f.confirmed.Load())
-	return f.holds.State(f.now(), knowledge.Held{Any: f.Table() != nil, Replaced: f.replaced(), Ever: at > 0, ConfirmedAt: at})
+	return f.holds.State(f.now(), knowledge.Copy{Exists: f.Table() != nil, Superseded: f.replaced(), EverConfirmed: at > 0, ConfirmedAt: at})
 }
 
 // replaced reports whether another live instance holds a newer configuration. What none was
 // heard to hold for a while is lost with the one that did.
 func (f *Follower) replaced() bool {
 	newest := f.replacing.Load()
-	return newest != nil && f.now()-newest.at <= f.holds.HoldsFor && f.configID().older(newest.id)
+	return newest != nil && f.now()-newest.at <= f.holds.ValidFor && f.configID().older(newest.id)
 }
 
 func (f *Follower) version() uint64 {
--- a/control/follow/knowledge_test.go
+++ b/control/follow/knowledge_test.go
@@ -17,7 +17,7 @@
 	var f *Follower
 	BeforeEach(func() {
 		now = 10 * time.Second
-		f = &Follower{log: zap.NewNop(), now: func() time.Duration { return now }, holds: knowledge.Policy{HoldsFor: holds}}
+		f = &Follower{log: zap.NewNop(), now: func() time.Duration { return now }, holds: knowledge.Policy{ValidFor: holds}}
 		f.table.Store(route.NewTable(route.Config{Version: 8}))
 		f.raw.Store(&content{version: 8})
 		f.confirm(now)
--- a/control/follow/peers.go
+++ b/control/follow/peers.go
@@ -94,7 +94,7 @@
 	next := &heardConfig{id, f.now()}
 	for {
 		known := f.replacing.Load()
-		if known != nil && id.older(known.id) && next.at-known.at <= f.holds.HoldsFor || f.replacing.CompareAndSwap(known, next) {
+		if known != nil && id.older(known.id) && next.at-known.at <= f.holds.ValidFor || f.replacing.CompareAndSwap(known, next) {
 			return
 		}
 	}
--- a/decide/knowledge/knowledge.go
+++ b/decide/knowledge/knowledge.go
@@ -55,30 +55,30 @@
 	return errors.Newf("unknown knowledge state %q", b)
 }
 
-// Held describes an instance's copy of one piece of content.
-type Held struct {
-	// Any tells that there is a copy.
-	Any bool
-	// Replaced tells that another instance has a newer version.
-	Replaced bool
-	// Ever tells that the copy was confirmed, last at ConfirmedAt by the local clock.
-	Ever        bool
-	ConfirmedAt time.Duration
+// Copy describes an instance's copy of one piece of content.
+type Copy struct {
+	// Exists tells that there is a copy.
+	Exists bool
+	// Superseded tells that another instance has a newer version.
+	Superseded bool
+	// EverConfirmed tells that the copy was confirmed, last at ConfirmedAt by the local clock.
+	EverConfirmed bool
+	ConfirmedAt   time.Duration
 }
 
 // Policy sets for how long a confirmation is valid.
 type Policy struct {
-	// HoldsFor is the maximum time between two confirmations: the wait of a watch call without
+	// ValidFor is the maximum time between two confirmations: the wait of a watch call without
 	// a change, its answer, and the propagation to the last instance.
-	HoldsFor time.Duration
+	ValidFor time.Duration
 }
 
 // State derives the state of a copy.
-func (p Policy) State(now time.Duration, h Held) State {
+func (p Policy) State(now time.Duration, h Copy) State {
 	switch {
-	case !h.Any:
+	case !h.Exists:
 		return Unknown
-	case h.Replaced || !h.Ever || now-h.ConfirmedAt > p.HoldsFor:
+	case h.Superseded || !h.EverConfirmed || now-h.ConfirmedAt > p.ValidFor:
 		return Old
 	default:
 		return Confirmed
--- a/decide/knowledge/knowledge_test.go
+++ b/decide/knowledge/knowledge_test.go
@@ -14,15 +14,15 @@
 func TestKnowledge(t *testing.T) { testkit.Suite(t, "knowledge") }
 
 var _ = Describe("the state of a copy of store content", func() {
-	p := knowledge.Policy{HoldsFor: 4 * time.Second}
-	DescribeTable("is", func(now time.Duration, h knowledge.Held, want knowledge.State) {
+	p := knowledge.Policy{ValidFor: 4 * time.Second}
+	DescribeTable("is", func(now time.Duration, h knowledge.Copy, want knowledge.State) {
 		Expect(p.State(now, h)).To(Equal(want))
 	},
-		Entry("unknown without a copy", time.Second, knowledge.Held{}, knowledge.Unknown),
-		Entry("old if never confirmed", time.Second, knowledge.Held{Any: true}, knowledge.Old),
-		Entry("confirmed", 14*time.Second, knowledge.Held{Any: true, Ever: true, ConfirmedAt: 10 * time.Second}, knowledge.Confirmed),
-		Entry("old after the confirmation expires", 14*time.Second+1, knowledge.Held{Any: true, Ever: true, ConfirmedAt: 10 * time.Second}, knowledge.Old),
-		Entry("old once another instance has a newer version", 11*time.Second, knowledge.Held{Any: true, Replaced: true, Ever: true, ConfirmedAt: 10 * time.Second}, knowledge.Old),
+		Entry("unknown without a copy", time.Second, knowledge.Copy{}, knowledge.Unknown),
+		Entry("old if never confirmed", time.Second, knowledge.Copy{Exists: true}, knowledge.Old),
+		Entry("confirmed", 14*time.Second, knowledge.Copy{Exists: true, EverConfirmed: true, ConfirmedAt: 10 * time.Second}, knowledge.Confirmed),
+		Entry("old after the confirmation expires", 14*time.Second+1, knowledge.Copy{Exists: true, EverConfirmed: true, ConfirmedAt: 10 * time.Second}, knowledge.Old),
+		Entry("old once another instance has a newer version", 11*time.Second, knowledge.Copy{Exists: true, Superseded: true, EverConfirmed: true, ConfirmedAt: 10 * time.Second}, knowledge.Old),
 	)
 
 	It("is encoded as text and decoded again", func() {
