--- a/decide/sequence/sequence.go
+++ b/decide/sequence/sequence.go
@@ -9,8 +9,8 @@
 const (
 	// Next: the chunk is the expected one and may be passed on.
 	Next Verdict = iota
-	// Again: the chunk was passed on before; a server that resumes may start earlier.
-	Again
+	// Duplicate: the chunk was passed on before; a server that resumes may start earlier.
+	Duplicate
 	// Gap: chunks before it are missing, so the answer cannot be completed.
 	Gap
 )
@@ -21,14 +21,14 @@
 	begun bool
 }
 
-// From returns an Order that expects first as the number of the first chunk.
-func From(first int64) Order { return Order{next: first, begun: true} }
+// StartingAt returns an Order that expects first as the number of the first chunk.
+func StartingAt(first int64) Order { return Order{next: first, begun: true} }
 
 // Take checks a chunk by its number and advances if it is the expected one.
 func (o *Order) Take(n int64) Verdict {
 	switch {
 	case o.begun && n < o.next:
-		return Again
+		return Duplicate
 	case o.begun && n > o.next:
 		return Gap
 	}
@@ -36,5 +36,5 @@
 	return Next
 }
 
-// Following returns the number of the expected chunk.
-func (o *Order) Following() int64 { return o.next }
+// Expected returns the number of the expected chunk.
+func (o *Order) Expected() int64 { return o.next }
--- a/serve/api/once.go
+++ b/serve/api/once.go
@@ -139,7 +139,7 @@
 	ctx, cancel := context.WithTimeout(c.Request().Context(), w.limit)
 	defer cancel()
 	out := w.sink(c, r)
-	order, u := sequence.From(0), usage{}
+	order, u := sequence.StartingAt(0), usage{}
 	err := a.disp.Engine().Resume(ctx, a.disp.Addr(engineName), stream, 0, func(ch engine.Chunk) error {
 		text, err := accept(stream, &order, ch)
 		if ch.End && err == nil {
--- a/serve/api/openai_test.go
+++ b/serve/api/openai_test.go
@@ -46,12 +46,12 @@
 	// with a chunk of another. Chunks are matched to the attempt, not to the
 	// connection, and counted at the end.
 	It("are accepted only in order, once, from their own stream, and complete", func() {
-		order := sequence.From(0)
+		order := sequence.StartingAt(0)
 		take := func(ch engine.Chunk) error { _, err := accept("s.1", &order, ch); return err }
 		Expect(take(engine.Chunk{ID: "s.1", Seq: 0, Text: "a"})).To(Succeed())
 		Expect(take(engine.Chunk{ID: "other.1", Seq: 1, Text: "b"})).To(MatchError(errCrossed))
 		Expect(take(engine.Chunk{ID: "s.1", Seq: 0, Text: "a"})).To(Succeed())
-		Expect(order.Following()).To(Equal(int64(1)))
+		Expect(order.Expected()).To(Equal(int64(1)))
 		Expect(take(engine.Chunk{ID: "s.1", Seq: 2, Text: "c"})).To(MatchError(errGap))
 		Expect(take(engine.Chunk{ID: "s.1", End: true, Count: 3})).To(MatchError(errGap))
 		Expect(take(engine.Chunk{ID: "s.1", Seq: 1, Text: "b"})).To(Succeed())
--- a/serve/api/session.go
+++ b/serve/api/session.go
@@ -100,7 +100,7 @@
 func (s *session) begin(ctx context.Context, st dispatch.Start) {
 	s.stopAttempt()
 	if !st.Resume {
-		s.order = sequence.From(0)
+		s.order = sequence.StartingAt(0)
 		s.sink.restart()
 	}
 	if st.Segment != nil && st.Segment.FromToken == 0 {
@@ -130,7 +130,7 @@
 	}
 	addr := s.disp.Addr(st.Engine)
 	if st.Resume {
-		res.err = s.disp.Engine().Resume(ctx, addr, dispatch.StreamID(st.ID, st.Attempt), s.order.Following(), each)
+		res.err = s.disp.Engine().Resume(ctx, addr, dispatch.StreamID(st.ID, st.Attempt), s.order.Expected(), each)
 	} else {
 		res.err = s.disp.Engine().Run(ctx, addr, s.stream(st), s.text(st), each)
 	}
@@ -167,7 +167,7 @@
 
 // chunk accepts the next piece of this attempt's answer.
 func (s *session) chunk(st dispatch.Start, ch engine.Chunk) error {
-	next := s.order.Following()
+	next := s.order.Expected()
 	text, err := accept(dispatch.StreamID(st.ID, st.Attempt), &s.order, ch)
 	switch {
 	case err != nil:
@@ -175,7 +175,7 @@
 	case ch.End:
 		s.usage = usageOf(s.prior, ch)
 		return nil
-	case s.order.Following() == next:
+	case s.order.Expected() == next:
 		return nil
 	case next == 0:
 		s.disp.Report(dispatch.StreamFirstToken{ID: st.ID, Attempt: st.Attempt, Cached: ch.Cached})
@@ -192,13 +192,13 @@
 		return "", errCrossed
 	}
 	if ch.End {
-		if ch.Count != order.Following() {
+		if ch.Count != order.Expected() {
 			return "", errGap
 		}
 		return "", nil
 	}
 	switch order.Take(ch.Seq) {
-	case sequence.Again:
+	case sequence.Duplicate:
 		return "", nil
 	case sequence.Gap:
 		return "", errGap
--- a/serve/relay/events.go
+++ b/serve/relay/events.go
@@ -63,9 +63,9 @@
 		e.lastID = raw
 		return true, nil
 	}
-	expected := e.order.Following()
+	expected := e.order.Expected()
 	switch e.order.Take(id) {
-	case sequence.Again:
+	case sequence.Duplicate:
 		return false, nil
 	case sequence.Gap:
 		return false, errors.Wrapf(errEventGap, "event %d, expected %d", id, expected)
