--- a/decide/member/table.go
+++ b/decide/member/table.go
@@ -43,7 +43,6 @@
 	return Config{Period: 500 * time.Millisecond, Fanout: 3, Sample: 16, FailBase: 2500 * time.Millisecond, ForgetAfter: 5 * time.Minute}
 }
 
-// entry is what a table holds of one other member.
 type entry struct {
 	state *peerpb.MemberState
 	heard time.Duration
@@ -105,7 +104,6 @@
 	}
 }
 
-// add inserts an entry and keeps order sorted.
 func (t *Table) add(name string, e *entry) {
 	e.distant = t.distant(name)
 	t.entries[name] = e
@@ -153,7 +151,6 @@
 	return changed
 }
 
-// knowsAlive reports whether a member is known and alive.
 func (t *Table) knowsAlive(now time.Duration, name string) bool {
 	e := t.entries[name]
 	return e != nil && t.alive(now, e)
@@ -256,7 +253,6 @@
 	}
 }
 
-// sameEngines compares the fields of engines that rarely change.
 func sameEngines(a, b []*peerpb.EngineState) bool {
 	return slices.EqualFunc(a, b, func(x, y *peerpb.EngineState) bool {
 		return x.Name == y.Name && x.KvTotal == y.KvTotal && x.Leaving == y.Leaving && x.Addr == y.Addr && slices.Equal(x.Models, y.Models)
@@ -281,7 +277,6 @@
 	return t.FailAfter()
 }
 
-// alive reports whether a member counts as alive.
 func (t *Table) alive(now time.Duration, e *entry) bool {
 	return !e.contact && now-e.heard < t.failAfter(e) && (e.silentSince == 0 || e.heard > e.silentSince)
 }
--- a/decide/rollout/rollout.go
+++ b/decide/rollout/rollout.go
@@ -160,7 +160,6 @@
 	return out
 }
 
-// wantedModels returns the sorted models of all model services in the manifest.
 func wantedModels(m *manifest.Manifest) []string {
 	var out []string
 	for _, s := range m.Services {
--- a/decide/rollout/rollout_test.go
+++ b/decide/rollout/rollout_test.go
@@ -20,7 +20,6 @@
 
 func TestRollout(t *testing.T) { testkit.Suite(t, "rollout") }
 
-// manifestOf returns a manifest with one model service per version.
 func manifestOf(models ...string) *manifest.Manifest {
 	m := &manifest.Manifest{}
 	for _, v := range models {
--- a/decide/watch/confirmations.go
+++ b/decide/watch/confirmations.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Confirmation tells when an instance that watches the store last got an answer from it, by the
-// local clock.
+// Confirmation tells when an instance that watches the store last got an answer from it, by
+// the local clock.
 type Confirmation struct {
 	By string
 	At time.Duration
 }
 
-// Confirmations holds when the watching instances last got an answer from the store, as reported by
-// themselves or relayed by others. It must be used by one goroutine at a time.
+// Confirmations holds the last confirmation of each watching instance, as reported by itself
+// or relayed by others. It must be used by one goroutine at a time.
 type Confirmations struct{ latest map[string]time.Duration }
 
 // NewConfirmations returns the empty Confirmations of an instance that starts.
@@ -25,19 +25,19 @@
 // entry that still matters is dropped.
 const keepFor = 40 * time.Second
 
-// Record records an entry if it is newer than the known one of that instance.
-func (n *Confirmations) Record(h Confirmation) {
-	if at, known := n.latest[h.By]; !known || h.At > at {
-		n.latest[h.By] = h.At
+// Record stores an entry if it is newer than the known one of that instance.
+func (c *Confirmations) Record(h Confirmation) {
+	if at, known := c.latest[h.By]; !known || h.At > at {
+		c.latest[h.By] = h.At
 	}
 }
 
 // Age returns the time since the newest entry of an included instance. Without one, the
 // time counts from the start of this process: the others get time to report before this
 // instance asks the store itself.
-func (n *Confirmations) Age(now time.Duration, include func(by string) bool) time.Duration {
+func (c *Confirmations) Age(now time.Duration, include func(by string) bool) time.Duration {
 	last := time.Duration(0)
-	for by, at := range n.latest {
+	for by, at := range c.latest {
 		if include(by) {
 			last = max(last, at)
 		}
@@ -46,10 +46,10 @@
 }
 
 // Newest drops outdated entries and returns the newest of the others, at most limit.
-func (n *Confirmations) Newest(now time.Duration, limit int) []Confirmation {
-	maps.DeleteFunc(n.latest, func(_ string, at time.Duration) bool { return now-at > keepFor })
-	out := make([]Confirmation, 0, len(n.latest))
-	for by, at := range n.latest {
+func (c *Confirmations) Newest(now time.Duration, limit int) []Confirmation {
+	maps.DeleteFunc(c.latest, func(_ string, at time.Duration) bool { return now-at > keepFor })
+	out := make([]Confirmation, 0, len(c.latest))
+	for by, at := range c.latest {
 		out = append(out, Confirmation{by, at})
 	}
 	slices.SortFunc(out, func(a, b Confirmation) int { return cmp.Or(cmp.Compare(b.At, a.At), cmp.Compare(a.By, b.By)) })
--- a/decide/watch/watch.go
+++ b/decide/watch/watch.go
@@ -47,8 +47,7 @@
 	// Rank is the index of this instance in Order, Watchers the number of instances in Order
 	// that watch.
 	Rank, Watchers int
-	// rankOf is the rank of each live instance in its data centre.
-	rankOf map[string]int
+	rankOf         map[string]int
 }
 
 // StandingOf returns the standing of self. All instances with the same list compute the same
--- a/decide/watch/watch_test.go
+++ b/decide/watch/watch_test.go
@@ -225,24 +225,24 @@
 	p := watch.Policy{StaleAfter: wait + 1600*time.Millisecond, Step: time.Second}
 	members := fleet(n, dataCentres)
 	var standings []watch.Standing
-	var news []*watch.Confirmations
+	var confirmations []*watch.Confirmations
 	answerAt := make([]time.Duration, n)
 	for i := range members {
 		standings = append(standings, standing(i, members))
-		news = append(news, watch.NewConfirmations())
+		confirmations = append(confirmations, watch.NewConfirmations())
 		answerAt[i] = -1
 	}
 	for now := time.Duration(0); now < length; now += tick {
 		count := 0
 		for i, m := range members {
-			due := p.ShouldWatch(standings[i], news[i].Age(now, standings[i].PrecededBy))
+			due := p.ShouldWatch(standings[i], confirmations[i].Age(now, standings[i].PrecededBy))
 			switch {
 			case !due:
 				answerAt[i] = -1
 			case answerAt[i] < 0:
 				answerAt[i] = now + wait
 			case now >= answerAt[i] && !disconnected(m.Name):
-				news[i].Record(watch.Confirmation{By: m.Name, At: now})
+				confirmations[i].Record(watch.Confirmation{By: m.Name, At: now})
 				answerAt[i] = now + wait
 			}
 			if due {
@@ -250,15 +250,15 @@
 			}
 			for range 2 {
 				to := r.IntN(n)
-				for _, h := range news[i].Newest(now, 8) {
-					news[to].Record(h)
+				for _, h := range confirmations[i].Newest(now, 8) {
+					confirmations[to].Record(h)
 				}
 			}
 		}
 		watching = append(watching, count)
 		for i := range members {
 			if now >= 2*wait+p.StaleAfter {
-				maxAge = max(maxAge, news[i].Age(now, func(string) bool { return true }))
+				maxAge = max(maxAge, confirmations[i].Age(now, func(string) bool { return true }))
 			}
 		}
 	}
