--- a/decide/spread/ledger.go
+++ b/decide/spread/ledger.go
@@ -17,7 +17,7 @@
 // KeyOf returns the key of a server.
 func KeyOf(server string) Key { return Key(xxhash.Sum64String(server)) }
 
-// Prefill is the prefill of one part of a prompt.
+// Prefill is the prefill of one part of a prompt on a server.
 type Prefill struct {
 	// Duration is how long the prefill takes, ExpectedEnd when it is expected to end: in
 	// Work from the moment of the report, in a ledger by its clock.
--- a/decide/spread/plan.go
+++ b/decide/spread/plan.go
@@ -70,8 +70,9 @@
 	Draw        float64
 	// MustWait reports that another held prompt precedes this one.
 	MustWait bool
-	// Rotation rotates the order of servers. It is set while the loads of other instances
-	// are not known, so that such instances do not all choose the same servers.
+	// Rotation is by how many places the order of servers is rotated. It is set while the
+	// loads of other instances are not known, so that such instances do not all choose the
+	// same servers.
 	Rotation int
 }
 
--- a/decide/spread/slots_test.go
+++ b/decide/spread/slots_test.go
@@ -26,9 +26,9 @@
 		}
 		return f
 	}
-	verdictAfter := func(f *fleet, waited time.Duration, rivals int, draw float64) spread.Verdict {
+	verdictAfter := func(f *fleet, waited time.Duration, slotWaiters int, draw float64) spread.Verdict {
 		r := short
-		r.Waited, r.SlotWaiters, r.Draw = waited, rivals, draw
+		r.Waited, r.SlotWaiters, r.Draw = waited, slotWaiters, draw
 		_, v := f.place(r)
 		return v
 	}
@@ -50,7 +50,7 @@
 		Expect(verdictAfter(withFree(10), late, 0, 0)).To(Equal(spread.Placed))
 	})
 
-	It("take a slot with the probability of one slot per waiting request", func() {
+	It("take a slot only with a probability that shares the free slots among all that wait", func() {
 		Expect(verdictAfter(withFree(2), 0, 10, 0.1)).To(Equal(spread.Placed))
 		Expect(verdictAfter(withFree(2), 0, 10, 0.3)).To(Equal(spread.Hold))
 	})
