--- a/peerlink/datagram.go
+++ b/peerlink/datagram.go
@@ -14,15 +14,15 @@
 	"github.com/auburnmoor/auburnmoor/peerpb"
 )
 
-// maxDatagram is the size in bytes up to which an envelope goes into one packet of any
-// network.
+// maxDatagram is the maximum size of a datagram in bytes; it avoids IP fragmentation on
+// any network.
 const maxDatagram = 1200
 
-// datagrams carry small envelopes to instances with which this one needs no connection. A
-// connection takes some 0.1 MB at both ends, and a fleet of 300 has 90,000 pairs.
+// datagrams carry small envelopes without a connection. A connection takes some 0.1 MB at
+// both ends, and a fleet of 300 instances has 90,000 pairs.
 type datagrams struct{ conn *net.UDPConn }
 
-// listenDatagrams opens the peer address for datagrams as well.
+// listenDatagrams also listens for datagrams on the peer address.
 func (l *Link) listenDatagrams() error {
 	addr, err := net.ResolveUDPAddr("udp", l.self.PeerAddr)
 	if err != nil {
@@ -45,7 +45,7 @@
 			return
 		}
 		if err != nil {
-			// Such as the report that a peer's port is closed.
+			// For example an ICMP error because a peer's port is closed.
 			continue
 		}
 		env := &peerpb.Envelope{}
@@ -57,39 +57,39 @@
 	}
 }
 
-// Fits reports whether an envelope can be sent as a datagram.
-func (l *Link) Fits(env *peerpb.Envelope) bool { return proto.Size(env)+addressing <= maxDatagram }
+// Fits reports whether an envelope is small enough for a datagram.
+func (l *Link) Fits(env *peerpb.Envelope) bool { return proto.Size(env)+maxAddressing <= maxDatagram }
 
-// addressing is the most that the names of sender and receiver take of an envelope, in
-// bytes.
-const addressing = 200
+// maxAddressing bounds the bytes that the sender's and receiver's names take in an
+// envelope.
+const maxAddressing = 200
 
-// Tell sends an envelope that may be lost, without a connection if it is small. Packets
-// are lost now and then, and are not sent again.
+// Tell sends an envelope as a datagram if it is small, else over a connection. A lost
+// datagram is not retransmitted.
 func (l *Link) Tell(to string, env *peerpb.Envelope) bool { return l.TellAll([]string{to}, env) }
 
-// TellAll tells several instances the same, as Tell does, and reports whether it was sent to
-// all. The body is encoded once for all of them.
+// TellAll sends one envelope to several instances as Tell does and reports whether it was
+// sent to all of them. The body is encoded only once.
 func (l *Link) TellAll(to []string, env *peerpb.Envelope) bool {
 	raw, err := proto.Marshal(&peerpb.Envelope{From: l.self.Name, Incarnation: l.self.Incarnation, Body: env.Body})
 	if err != nil {
 		l.log.Warn("message to other instances cannot be encoded", eventlog.Error(err))
 		return false
 	}
-	all := true
+	sentAll := true
 	for _, name := range to {
-		all = l.tell(name, raw, env) && all
+		sentAll = l.sendEncoded(name, raw, env) && sentAll
 	}
-	return all
+	return sentAll
 }
 
-// tell sends an envelope that is encoded but for its receiver.
-func (l *Link) tell(to string, raw []byte, env *peerpb.Envelope) bool {
+// sendEncoded sends env to one instance; raw is its encoding without the receiver.
+func (l *Link) sendEncoded(to string, raw []byte, env *peerpb.Envelope) bool {
 	addr, ok := l.datagramAddr(to)
 	if !ok {
 		return l.Send(to, env)
 	}
-	raw = addressed(raw, to)
+	raw = appendReceiver(raw, to)
 	if len(raw) > maxDatagram {
 		return l.Send(to, env)
 	}
@@ -102,15 +102,15 @@
 	return true
 }
 
-// addressed completes an encoded envelope with its receiver. Fields of a message may be
-// encoded one after the other.
-func addressed(raw []byte, to string) []byte {
-	raw = protowire.AppendTag(slices.Clip(raw), envelopeTo, protowire.BytesType)
+// appendReceiver adds the receiver to an encoded envelope. Protobuf allows appending a
+// field to an encoded message.
+func appendReceiver(raw []byte, to string) []byte {
+	raw = protowire.AppendTag(slices.Clip(raw), envelopeToField, protowire.BytesType)
 	return protowire.AppendString(raw, to)
 }
 
-// envelopeTo is the number of the field with the receiver of an envelope.
-const envelopeTo = 3
+// envelopeToField is the field number of peerpb.Envelope.To.
+const envelopeToField = 3
 
 func (l *Link) datagramAddr(to string) (netip.AddrPort, bool) {
 	if l.datagrams.conn == nil {
@@ -122,15 +122,15 @@
 	}
 	addr, err := netip.ParseAddrPort(name)
 	if err != nil {
-		l.log.Debug("address of an instance is no IP number and port", zap.String("instance", to), zap.String("addr", name))
+		l.log.Debug("instance address is not an IP address with a port", zap.String("instance", to), zap.String("addr", name))
 		return netip.AddrPort{}, false
 	}
 	return addr, true
 }
 
-// deliver hands an envelope over that is meant for this instance. One that took over an
-// address gets messages meant for its predecessor; acting on them would answer for
-// another.
+// deliver passes an envelope to the handlers if it is addressed to this instance. An
+// instance that took over an address may receive messages to its predecessor and must not
+// act on them.
 func (l *Link) deliver(env *peerpb.Envelope, size int) {
 	if env.To != l.self.Name && env.To != AtAddr(l.self.PeerAddr) {
 		l.dropped.Add(1)
--- a/peerlink/peerlink.go
+++ b/peerlink/peerlink.go
@@ -1,6 +1,6 @@
-// Package peerlink carries envelopes between instances over gRPC. It promises
-// nothing: a message may be lost when a ring is full or a connection breaks,
-// and whoever sent it decides by its own timers.
+// Package peerlink carries envelopes between instances over gRPC and UDP. Delivery
+// is best effort: a message may be lost when a ring is full or a connection
+// breaks, and senders rely on their own timeouts.
 package peerlink
 
 import (
@@ -33,43 +33,43 @@
 
 // Bounds of the link.
 const (
-	// defaultRing is some seconds of messages to one instance under the heaviest load.
-	// Of 4,096 places, 74 peers took 2.1 MB of an instance at rest (heap profile).
+	// defaultRing holds some seconds of messages to one instance under the heaviest load.
+	// With 4,096 slots, the rings of 74 peers took 2.1 MB of an idle instance.
 	defaultRing = 512
 	maxMessage  = 64 << 20
-	// idleFor is how long a connection is kept that nothing is sent on, and sweepEvery how
-	// often such ones are looked for.
-	idleFor    = 10 * time.Second
-	sweepEvery = 2 * time.Second
+	// idleTimeout is how long an unused connection is kept, sweepInterval how often unused
+	// connections are closed.
+	idleTimeout   = 10 * time.Second
+	sweepInterval = 2 * time.Second
 	// ioBuffer is the size of the buffers of a connection between instances, in bytes.
-	// Most messages have some 200 bytes; larger ones go in several reads. gRPC's own
-	// 32 KB twice are allocated for each of hundreds of connections.
+	// Most messages have some 200 bytes; larger ones take several reads. gRPC's default is
+	// two buffers of 32 KB for each of hundreds of connections.
 	ioBuffer = 2 << 10
-	// Pauses between vain attempts to connect. A peer that restarts, or whose
-	// partition heals, must be heard again before the view of its load is old.
-	reconnectFirst  = 100 * time.Millisecond
-	reconnectMost   = 800 * time.Millisecond
-	reconnectGrowth = 1.6
-	reconnectJitter = 0.2
-	// dialTimeout ends an attempt whose opening packet was lost: the kernel sends
-	// the next ones after 1, 3, 7 and 15 s, so an attempt that began during a
-	// partition would connect only that long after its end. gRPC waits 20 s by
-	// itself. A round trip between data centres takes 3 ms.
+	// Backoff between failed connection attempts. A peer that restarts, or whose
+	// partition heals, must be reachable before its load report is stale.
+	reconnectMinDelay   = 100 * time.Millisecond
+	reconnectMaxDelay   = 800 * time.Millisecond
+	reconnectMultiplier = 1.6
+	reconnectJitter     = 0.2
+	// dialTimeout ends an attempt whose SYN was lost: the kernel retransmits it after
+	// 1, 3, 7 and 15 s, so that an attempt that began during a partition could
+	// connect that long after its end. gRPC's default is 20 s. A round trip between
+	// data centres takes 3 ms.
 	dialTimeout = 500 * time.Millisecond
-	// userTimeout ends a connection that went silent; a round trip of 3 ms is far
-	// below, and a new connection works at once.
+	// userTimeout ends a connection whose data is not acknowledged. It is far above
+	// a round trip of 3 ms, and a new connection works at once.
 	userTimeout = 1500 * time.Millisecond
 )
 
-// Handler takes over a received envelope; it must not block.
+// Handler processes a received envelope; it must not block.
 type Handler func(from string, env *peerpb.Envelope)
 
-// Forwarder answers a request that another instance passed on.
+// Forwarder handles a request forwarded by another instance.
 type Forwarder func(context.Context, *peerpb.ForwardRequest) (*peerpb.ForwardReply, error)
 
 // Link is the module "peer.link".
 type Link struct {
-	// RingSize bounds the envelopes waiting for one instance; further ones are
+	// RingSize bounds the envelopes queued for one instance; excess ones are
 	// dropped and counted.
 	RingSize int `toml:"ring_size" validate:"min=0,max=65536"`
 
@@ -97,8 +97,8 @@
 	ring *ring.Ring[*peerpb.Envelope]
 	conn *grpc.ClientConn
 	stop context.CancelFunc
-	// used is when something was last sent.
-	used time.Time
+	// lastUsed is when the connection was last requested for sending.
+	lastUsed time.Time
 }
 
 func (p *peer) close() {
@@ -121,25 +121,25 @@
 	return nil
 }
 
-// Self is the name of this instance.
+// Self returns the name of this instance.
 func (l *Link) Self() string { return l.self.Name }
 
-// SetResolver tells the link how to find an instance's peer address. It must
-// be called before Start.
+// SetResolver sets the function that resolves an instance's name to its peer
+// address. It must be called before Start.
 func (l *Link) SetResolver(f func(string) (string, bool)) { l.resolve = f }
 
-// Handle adds a handler; every handler sees every envelope. It must be called
+// Handle adds a handler; every handler receives every envelope. It must be called
 // before Start.
 func (l *Link) Handle(h Handler) { l.handlers = append(l.handlers, h) }
 
-// HandleForward sets the answer to forwarded requests.
+// HandleForward sets the handler of forwarded requests.
 func (l *Link) HandleForward(f Forwarder) { l.forward = f }
 
 // Start implements auburnmoor.Starter.
 func (l *Link) Start(ctx context.Context) error {
 	lis, err := net.Listen("tcp", l.self.PeerAddr)
 	if err != nil {
-		return errors.Wrap(err, "peer address")
+		return errors.Wrap(err, "listening on the peer address")
 	}
 	l.ctx, l.listener = ctx, lis
 	l.server = grpc.NewServer(grpc.MaxRecvMsgSize(maxMessage), grpc.MaxSendMsgSize(maxMessage),
@@ -147,19 +147,19 @@
 	peerpb.RegisterPeerServer(l.server, &server{link: l})
 	go func() { _ = l.server.Serve(lis) }()
 	if err := l.listenDatagrams(); err != nil {
-		// Everything goes over connections then, at the cost of their memory.
+		// All envelopes use connections then, which takes more memory.
 		l.log.Warn("no datagrams to other instances", eventlog.Error(err))
 	}
-	go wait.Every(ctx, sweepEvery, func() { l.sweep(time.Now()) })
+	go wait.Every(ctx, sweepInterval, func() { l.sweep(time.Now()) })
 	return nil
 }
 
-// sweep closes connections to instances to which this one has nothing more to say.
+// sweep closes connections that were not used for idleTimeout.
 func (l *Link) sweep(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name, p := range l.peers {
-		if now.Sub(p.used) > idleFor {
+		if now.Sub(p.lastUsed) > idleTimeout {
 			p.close()
 			delete(l.peers, name)
 		}
@@ -182,10 +182,10 @@
 	return nil
 }
 
-// AtAddr is the name of an instance of which only the peer address is known.
+// AtAddr returns the provisional name of an instance known only by its peer address.
 func AtAddr(addr string) string { return "@" + addr }
 
-// Send queues an envelope for an instance and reports whether there was room.
+// Send queues an envelope for an instance and reports whether it was queued.
 func (l *Link) Send(to string, env *peerpb.Envelope) bool {
 	p, err := l.peer(to)
 	if err != nil {
@@ -200,7 +200,7 @@
 	return true
 }
 
-// Forward passes a request to another instance and waits for its answer.
+// Forward forwards a request to another instance and waits for its reply.
 func (l *Link) Forward(ctx context.Context, to string, req *peerpb.ForwardRequest) (*peerpb.ForwardReply, error) {
 	p, err := l.peer(to)
 	if err != nil {
@@ -212,13 +212,13 @@
 func (l *Link) peer(name string) (*peer, error) {
 	addr, ok := l.resolve(name)
 	if !ok || addr == "" {
-		return nil, errors.Newf("no address of instance %s", name)
+		return nil, errors.Newf("no address known for instance %s", name)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := l.peers[name]
 	if p != nil && p.addr == addr {
-		p.used = time.Now()
+		p.lastUsed = time.Now()
 		return p, nil
 	}
 	if p != nil {
@@ -229,7 +229,7 @@
 		grpc.WithContextDialer(dial),
 		grpc.WithReadBufferSize(ioBuffer), grpc.WithWriteBufferSize(ioBuffer),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff:           grpcbackoff.Config{BaseDelay: reconnectFirst, Multiplier: reconnectGrowth, Jitter: reconnectJitter, MaxDelay: reconnectMost},
+			Backoff:           grpcbackoff.Config{BaseDelay: reconnectMinDelay, Multiplier: reconnectMultiplier, Jitter: reconnectJitter, MaxDelay: reconnectMaxDelay},
 			MinConnectTimeout: dialTimeout,
 		}),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage), grpc.MaxCallSendMsgSize(maxMessage)))
@@ -237,9 +237,9 @@
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(l.ctx)
-	p = &peer{name: name, addr: addr, conn: conn, stop: stop, used: time.Now(), ring: ring.New[*peerpb.Envelope]("peer."+name, l.RingSize)}
+	p = &peer{name: name, addr: addr, conn: conn, stop: stop, lastUsed: time.Now(), ring: ring.New[*peerpb.Envelope]("peer."+name, l.RingSize)}
 	l.peers[name] = p
-	go l.pump(ctx, p)
+	go l.sendLoop(ctx, p)
 	return p, nil
 }
 
@@ -248,11 +248,11 @@
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// pump sends one instance's envelopes and reconnects with jittered backoff, so
-// that a restarted instance is not met by everyone at once.
-func (l *Link) pump(ctx context.Context, p *peer) {
+// sendLoop sends one instance's envelopes and reconnects with jittered backoff, so
+// that not all peers connect to a restarted instance at once.
+func (l *Link) sendLoop(ctx context.Context, p *peer) {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval, b.MaxInterval = reconnectFirst, reconnectMost
+	b.InitialInterval, b.MaxInterval = reconnectMinDelay, reconnectMaxDelay
 	for ctx.Err() == nil {
 		if l.stream(ctx, p) {
 			b.Reset()
@@ -264,8 +264,8 @@
 	}
 }
 
-// stream sends until an error and reports whether anything was sent.
-func (l *Link) stream(ctx context.Context, p *peer) (worked bool) {
+// stream sends envelopes until an error and reports whether any was sent.
+func (l *Link) stream(ctx context.Context, p *peer) (sentAny bool) {
 	s, err := peerpb.NewPeerClient(p.conn).Link(ctx)
 	if err != nil {
 		return false
@@ -274,12 +274,12 @@
 		env, ok := p.ring.Take(ctx)
 		if !ok {
 			_, _ = s.CloseAndRecv()
-			return worked
+			return sentAny
 		}
 		if s.Send(env) != nil {
-			return worked
+			return sentAny
 		}
-		worked = true
+		sentAny = true
 		l.sent.Add(1)
 		l.sentBytes.Add(uint64(proto.Size(env)))
 	}
@@ -302,7 +302,7 @@
 
 // Dump is the state of the link.
 type Dump struct {
-	// Peers is the number of instances to which a connection is kept.
+	// Peers is the number of instances with an open connection.
 	Peers         int          `json:"peers"`
 	Sent          uint64       `json:"sent"`
 	Received      uint64       `json:"received"`
--- a/peerlink/server.go
+++ b/peerlink/server.go
@@ -30,7 +30,7 @@
 // Forward implements peerpb.PeerServer.
 func (sv *server) Forward(ctx context.Context, req *peerpb.ForwardRequest) (*peerpb.ForwardReply, error) {
 	if sv.link.forward == nil {
-		return nil, result.New(result.NotFound, "this instance takes no forwarded requests")
+		return nil, result.New(result.NotFound, "this instance does not accept forwarded requests")
 	}
 	return sv.link.forward(ctx, req)
 }
