--- a/process/process.go
+++ b/process/process.go
@@ -17,16 +17,16 @@
 	"github.com/auburnmoor/auburnmoor/settings"
 )
 
-// Process is a kernel with its metrics and its log.
+// Process is a kernel with its metrics reporter.
 type Process struct {
 	*auburnmoor.Kernel
 	metrics io.Closer
 }
 
-// metricsInterval is how often counters reach the Prometheus page.
+// metricsInterval is how often counters are reported to the Prometheus registry.
 const metricsInterval = time.Second
 
-// New loads the modules that f configures.
+// New loads and provisions the modules of the settings file f.
 func New(f *settings.File, log *zap.Logger) (*Process, error) {
 	in := f.Instance
 	registry := prometheus.NewRegistry()
@@ -51,7 +51,7 @@
 // Close flushes the metrics.
 func (p *Process) Close() error { return p.metrics.Close() }
 
-// NewLog returns a log in JSON, which is the default, or for a console.
+// NewLog returns a logger with JSON lines or, for format "console", readable text.
 func NewLog(format string) (*zap.Logger, error) {
 	if format == "console" {
 		c := zap.NewDevelopmentConfig()
