--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,6 +1,6 @@
 // Package settings reads an instance's TOML file: the [instance] table and one
-// table per module. Everything is checked before anything starts, and all
-// problems are reported at once.
+// table per module. All tables are checked before any module starts, and all
+// problems are reported together.
 package settings
 
 import (
@@ -20,48 +20,48 @@
 	"github.com/auburnmoor/auburnmoor"
 )
 
-// Instance is the [instance] table: what a process is told about itself.
+// Instance is the [instance] table, which describes the process itself.
 type Instance struct {
 	Name       string `toml:"name" validate:"required"`
 	DataCentre string `toml:"data_centre" validate:"required"`
 	Region     string `toml:"region" validate:"required"`
-	// CallerAddr, PeerAddr and AdminAddr are host:port by IP number.
+	// CallerAddr, PeerAddr and AdminAddr are host:port with an IP address as host.
 	CallerAddr string `toml:"caller_addr" validate:"required,hostname_port"`
 	PeerAddr   string `toml:"peer_addr" validate:"required,hostname_port"`
 	AdminAddr  string `toml:"admin_addr" validate:"required,hostname_port"`
-	// Cores is the processor time that the process may use; zero does not tell. Larger
-	// instances do more of the fleet's common duties.
+	// Cores is the number of processor cores that the process may use, zero if unknown.
+	// Larger instances take a larger share of the fleet's common duties.
 	Cores float64 `toml:"cores" validate:"min=0,max=1024"`
-	// MemoryMB is the memory in megabytes beyond which the process is ended; zero does not
-	// tell.
+	// MemoryMB is the memory limit of the process in megabytes, beyond which it is killed;
+	// zero if unknown.
 	MemoryMB float64 `toml:"memory_mb" validate:"min=0,max=1048576"`
 	// LogFormat is json or console.
 	LogFormat string `toml:"log_format" validate:"omitempty,oneof=json console"`
-	// DrainTimeout bounds a graceful shutdown; zero waits for every stream.
+	// DrainTimeout bounds a graceful shutdown; zero waits for all streams to end.
 	DrainTimeout Duration `toml:"drain_timeout"`
-	// Modules are the modules to load beside those that they require; empty
-	// loads those of the product's own interface.
+	// Modules lists the modules to load in addition to those that they require. If
+	// empty, all modules are loaded except those that must be listed.
 	Modules []string `toml:"modules"`
 }
 
-// Capacity is Cores in thousandths of a core.
+// Capacity returns Cores in thousandths of a core.
 func (i Instance) Capacity() uint32 {
 	const perCore = 1000
 	return uint32(i.Cores * perCore)
 }
 
-// memoryShare of the memory is given to the heap; the rest is stacks, buffers of the
-// kernel that count as the process's, and what is used between two collections.
-const memoryShare = 0.7
+// heapShare is the share of the memory limit for the heap. The rest is for stacks, kernel
+// buffers charged to the process, and allocation between two garbage collections.
+const heapShare = 0.7
 
-// HeapLimit is the size in bytes towards which the heap is collected more often rather
-// than grow; zero for none.
+// HeapLimit returns the soft memory limit of the garbage collector in bytes, zero for
+// none.
 func (i Instance) HeapLimit() int64 {
 	const megabyte = 1 << 20
-	return int64(memoryShare * i.MemoryMB * megabyte)
+	return int64(heapShare * i.MemoryMB * megabyte)
 }
 
-// Duration reads "1.5s" and similar.
+// Duration is a time.Duration written as "1.5s" and similar.
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -102,7 +102,7 @@
 	return Parse(path, raw)
 }
 
-// Parse is Load for content already read.
+// Parse is Load for content that is already in memory.
 func Parse(path string, raw []byte) (*File, error) {
 	f := &File{Path: path, tables: map[string]any{}}
 	if err := toml.Unmarshal(raw, &f.tables); err != nil {
@@ -122,7 +122,7 @@
 	return f, nil
 }
 
-// Configure fills a module from its table and checks it.
+// Configure decodes a module's table into it and checks the values.
 func (f *File) Configure(id auburnmoor.ModuleID, m auburnmoor.Module) error {
 	t, ok := lookup(f.tables, strings.Split(string(id), "."))
 	if !ok {
@@ -134,7 +134,7 @@
 // Same reports whether two files have the same content.
 func (f *File) Same(o *File) bool { return reflect.DeepEqual(f.tables, o.tables) }
 
-// Load returns the modules that the settings ask for.
+// Load returns the modules listed in the settings.
 func (f *File) Load() []auburnmoor.ModuleID {
 	var out []auburnmoor.ModuleID
 	for _, id := range f.Instance.Modules {
@@ -177,20 +177,20 @@
 		}
 		sub, isTable := v.(map[string]any)
 		if !isTable || !prefixes[name] {
-			out = append(out, fmt.Sprintf("%s: unknown table or key %q; allowed: %s", f.Path, name, allowed(known)))
+			out = append(out, fmt.Sprintf("%s: unknown table or key %q; allowed: %s", f.Path, name, allowedTables(known)))
 			continue
 		}
 		for k := range sub {
 			if !known[name+"."+k] {
-				out = append(out, fmt.Sprintf("%s: unknown table [%s.%s]; allowed: %s", f.Path, name, k, allowed(known)))
+				out = append(out, fmt.Sprintf("%s: unknown table [%s.%s]; allowed: %s", f.Path, name, k, allowedTables(known)))
 			}
 		}
 	}
 	return out
 }
 
-// decode reads one table strictly into v and returns every problem found. Keys
-// are decoded one by one, because a decoder stops at the first wrong type.
+// decode decodes one table strictly into v and returns all problems. Keys are
+// decoded one by one, because a decoder stops at the first wrong type.
 func (f *File) decode(name string, table any, v any) []string {
 	keys, ok := table.(map[string]any)
 	if !ok {
@@ -214,7 +214,7 @@
 	return problems
 }
 
-// Strict decodes a whole TOML document into v, refusing unknown keys, then runs
+// Strict decodes a whole TOML document into v, rejecting unknown keys, then checks
 // the validate tags. It returns one line per problem.
 func Strict(raw []byte, v any) []string {
 	var out []string
@@ -224,7 +224,7 @@
 	return append(out, validateProblems(v)...)
 }
 
-// problem is what a decoder reported, and where in the document.
+// problem is an error of a decoder and its position in the document.
 type problem struct{ where, text string }
 
 func decodeStrict(raw []byte, v any) []problem {
@@ -239,7 +239,7 @@
 	for _, e := range strict.Errors {
 		out = append(out, problem{text: fmt.Sprintf("unknown key %q", strings.Join(e.Key(), "."))})
 	}
-	// A strict error stops at unknown keys, so types are checked again.
+	// An error for unknown keys hides type errors, so the types are checked again.
 	return append(out, decodeProblems(toml.Unmarshal(raw, v))...)
 }
 
@@ -292,20 +292,20 @@
 }
 
 func lookup(t map[string]any, path []string) (any, bool) {
-	var cur any = t
+	var current any = t
 	for _, p := range path {
-		m, ok := cur.(map[string]any)
+		m, ok := current.(map[string]any)
 		if !ok {
 			return nil, false
 		}
-		if cur, ok = m[p]; !ok {
+		if current, ok = m[p]; !ok {
 			return nil, false
 		}
 	}
-	return cur, true
+	return current, true
 }
 
-func allowed(known map[string]bool) string {
+func allowedTables(known map[string]bool) string {
 	var names []string
 	for n := range known {
 		names = append(names, "["+n+"]")
@@ -314,7 +314,7 @@
 	return strings.Join(names, " ")
 }
 
-// Problems is a list of settings errors that prints one per line.
+// Problems is a list of settings errors, printed one per line.
 type Problems []string
 
 // Error implements error.
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -14,7 +14,7 @@
 
 func TestSettings(t *testing.T) { testkit.Suite(t, "settings") }
 
-const good = `
+const validFile = `
 [instance]
 name = "entry-1"
 data_centre = "dc-a"
@@ -30,18 +30,18 @@
 
 var _ = Describe("settings", func() {
 	It("accepts a complete file", func() {
-		f, err := settings.Parse("f.toml", []byte(good))
+		f, err := settings.Parse("f.toml", []byte(validFile))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(f.CheckAll()).To(Succeed())
 	})
 
-	It("gives the heap a part of the machine's memory, if that is told", func() {
+	It("limits the heap to a share of the memory limit, if there is one", func() {
 		Expect(settings.Instance{MemoryMB: 184}.HeapLimit()).To(BeNumerically("~", 129<<20, 1<<20))
 		Expect(settings.Instance{}.HeapLimit()).To(BeZero())
 	})
 
 	It("reports every problem at once, with file, table and key", func() {
-		bad := strings.Replace(good, `name = "entry-1"`, `nmae = "entry-1"`, 1) + `
+		bad := strings.Replace(validFile, `name = "entry-1"`, `nmae = "entry-1"`, 1) + `
 [http.api]
 max_body = -1
 body_timeout = "fast"
@@ -63,20 +63,20 @@
 		)))
 	})
 
-	It("names the allowed values of an order", func() {
-		f, err := settings.Parse("f.toml", []byte(good+"[serve.dispatch]\norder = \"alphabetical\"\n"))
+	It("lists the allowed values of the order", func() {
+		f, err := settings.Parse("f.toml", []byte(validFile+"[serve.dispatch]\norder = \"alphabetical\"\n"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(f.CheckAll()).To(MatchError(ContainSubstring("stretch")))
 	})
 
-	It("says where TOML is malformed", func() {
+	It("reports the position of malformed TOML", func() {
 		_, err := settings.Parse("f.toml", []byte("[instance]\nname = \n"))
 		Expect(err).To(MatchError(ContainSubstring("line 2")))
 	})
 })
 
 func FuzzParse(f *testing.F) {
-	f.Add(good)
+	f.Add(validFile)
 	f.Add("[instance]\nname = 3\n[http]\napi = 4")
 	f.Add("instance = [1, 2]")
 	f.Fuzz(func(t *testing.T, raw string) {
