--- a/manifest/cost_test.go
+++ b/manifest/cost_test.go
@@ -9,7 +9,7 @@
 	"github.com/auburnmoor/auburnmoor/manifest"
 )
 
-// BenchmarkAdopt is the parsing and indexing of a configuration.
+// BenchmarkAdopt measures parsing and indexing of a manifest with many customers.
 func BenchmarkAdopt(b *testing.B) {
 	base, err := os.ReadFile("../examples/te-puna.toml")
 	if err != nil {
--- a/manifest/manifest.go
+++ b/manifest/manifest.go
@@ -1,6 +1,6 @@
 // Package manifest defines the configuration that a build pipeline generates:
-// services, model versions, kinds of request, customers and limits. An
-// accepted manifest is immutable; a change is a new version.
+// services, model versions, kinds of request, customers and limits. An accepted
+// manifest is immutable; every change is a new version.
 package manifest
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/auburnmoor/auburnmoor/settings"
 )
 
-// ServiceType tells a model service from a plain one.
+// ServiceType distinguishes model services from plain ones.
 type ServiceType string
 
 // The types of service.
@@ -30,24 +30,24 @@
 	Kinds    []Kind     `toml:"kind" validate:"required,dive"`
 	Customer []Customer `toml:"customer" validate:"required,dive"`
 	Limits   Limits     `toml:"limits"`
-	// Roles pins engines to roles; an engine not listed serves everything.
+	// Roles assigns roles to engines; an unlisted engine serves all requests.
 	Roles []Role `toml:"role" validate:"dive"`
 }
 
-// Service is what callers name in "model" or in the path.
+// Service is a service that callers name in "model" or in the path.
 type Service struct {
 	Name string      `toml:"name" validate:"required,max=64,excludesall=/ "`
 	Type ServiceType `toml:"type" validate:"required,oneof=model plain"`
-	// ModelName and Version are what engines must have loaded.
+	// ModelName and Version identify the weights that engines must have loaded.
 	ModelName   string `toml:"model_name" validate:"required_if=Type model"`
 	Version     string `toml:"version" validate:"required_if=Type model"`
 	Adapter     string `toml:"adapter"`
 	DefaultKind string `toml:"default_kind" validate:"required"`
-	// MaxOutput bounds max_tokens and is its default.
+	// MaxOutput is the maximum and the default of max_tokens.
 	MaxOutput int `toml:"max_output" validate:"min=0,max=131072"`
 }
 
-// Loaded names the weights of a service as engines report them.
+// Loaded returns the name of the service's weights as engines report it.
 func (s Service) Loaded() string {
 	name := s.ModelName + "@" + s.Version
 	if s.Adapter != "" {
@@ -56,29 +56,29 @@
 	return name
 }
 
-// SameModel reports whether loaded weights are some version of a service's
-// model and adapter.
+// SameModel reports whether loaded weights are any version of a service's model
+// with the same adapter.
 func SameModel(loaded string, s Service) bool {
 	name, rest, ok := strings.Cut(loaded, "@")
 	_, adapter, _ := strings.Cut(rest, "+")
 	return ok && name == s.ModelName && adapter == s.Adapter
 }
 
-// Kind is a class of request with its promise.
+// Kind is a class of requests with its latency target and execution guarantee.
 type Kind struct {
 	Name string `toml:"name" validate:"required,max=64"`
-	// AnswerQuickly requests are ordered by FirstToken.
+	// AnswerQuickly orders requests by FirstToken.
 	AnswerQuickly bool `toml:"answer_quickly"`
-	// MayWait requests are ordered by their time limit.
+	// MayWait orders requests by their time limit.
 	MayWait bool `toml:"may_wait"`
-	// NeverTwice requests need an Idempotency-Key and run at most once.
+	// NeverTwice requires an Idempotency-Key; requests run at most once.
 	NeverTwice bool              `toml:"never_twice"`
 	TimeLimit  settings.Duration `toml:"time_limit" validate:"required"`
 	FirstToken settings.Duration `toml:"first_token"`
 	Priority   int               `toml:"priority" validate:"min=0,max=9"`
 }
 
-// Target returns the wanted time to first token.
+// Target returns the target for the time to first token.
 func (k Kind) Target() time.Duration {
 	if k.FirstToken > 0 {
 		return k.FirstToken.Std()
@@ -89,21 +89,21 @@
 // Customer owns keys and a share of the fleet.
 type Customer struct {
 	Name string `toml:"name" validate:"required,max=64"`
-	// KeyHashes are lower-case SHA-256 sums; the keys themselves are never stored.
+	// KeyHashes are lower-case SHA-256 hashes; the keys themselves are never stored.
 	KeyHashes []string `toml:"key_hashes" validate:"required,dive,len=64,hexadecimal,lowercase"`
-	// Share weighs the customer under contention.
+	// Share is the customer's weight in fair sharing under contention.
 	Share int `toml:"share" validate:"min=1,max=1000"`
 }
 
-// Limits tune retries and ejection.
+// Limits bound retries and the ejection of backend servers.
 type Limits struct {
 	// RetryShare is the ratio of retries to recent successes.
 	RetryShare float64 `toml:"retry_share" validate:"min=0,max=1"`
-	// EjectShare bounds the part of a service's backend servers out of rotation.
+	// EjectShare bounds the fraction of a service's backend servers that are ejected.
 	EjectShare float64 `toml:"eject_share" validate:"min=0,max=0.9"`
 }
 
-// Role pins an engine.
+// Role assigns a role to an engine.
 type Role struct {
 	Engine string `toml:"engine" validate:"required"`
 	Role   string `toml:"role" validate:"required,oneof=any long short"`
@@ -113,14 +113,14 @@
 func Parse(raw []byte) (*Manifest, error) {
 	m := &Manifest{}
 	problems := settings.Strict(raw, m)
-	problems = append(problems, m.clashes()...)
+	problems = append(problems, m.conflicts()...)
 	if len(problems) > 0 {
 		return nil, settings.Problems(problems)
 	}
 	return m, nil
 }
 
-func (m *Manifest) clashes() []string {
+func (m *Manifest) conflicts() []string {
 	var out []string
 	kinds := map[string]bool{}
 	for _, k := range m.Kinds {
@@ -145,12 +145,12 @@
 			out = append(out, fmt.Sprintf("service %q: default_kind %q is not declared", s.Name, s.DefaultKind))
 		}
 	}
-	return append(out, m.customerClashes()...)
+	return append(out, m.customerConflicts()...)
 }
 
-func (m *Manifest) customerClashes() []string {
+func (m *Manifest) customerConflicts() []string {
 	var out []string
-	seen := map[string]string{}
+	hashOwners := map[string]string{}
 	names := map[string]bool{}
 	for _, c := range m.Customer {
 		if names[c.Name] {
@@ -158,22 +158,22 @@
 		}
 		names[c.Name] = true
 		for _, h := range c.KeyHashes {
-			if other, ok := seen[h]; ok {
+			if other, ok := hashOwners[h]; ok {
 				out = append(out, fmt.Sprintf("customers %q and %q share a key hash", other, c.Name))
 			}
-			seen[h] = c.Name
+			hashOwners[h] = c.Name
 		}
 	}
 	return out
 }
 
-// HashKey returns the form in which keys stand in a manifest.
+// HashKey returns the hash of a key as it is stored in KeyHashes.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Index answers look-ups on a manifest without allocation.
+// Index looks up parts of a manifest by name or key.
 type Index struct {
 	Manifest *Manifest
 	services map[string]Service
@@ -181,7 +181,7 @@
 	keys     map[string]Customer
 }
 
-// NewIndex builds the look-up tables of m.
+// NewIndex builds the index of m.
 func NewIndex(m *Manifest) *Index {
 	ix := &Index{Manifest: m, services: map[string]Service{}, kinds: map[string]Kind{}, keys: map[string]Customer{}}
 	for _, s := range m.Services {
@@ -204,13 +204,13 @@
 // Kind finds a kind by name.
 func (ix *Index) Kind(name string) (Kind, bool) { k, ok := ix.kinds[name]; return k, ok }
 
-// CustomerByKey finds the owner of a bearer key.
+// CustomerByKey finds the customer that owns a bearer key.
 func (ix *Index) CustomerByKey(key string) (Customer, bool) {
 	c, ok := ix.keys[HashKey(key)]
 	return c, ok
 }
 
-// ServiceNames lists the services of one type in order.
+// ServiceNames returns the sorted names of the services of one type.
 func (ix *Index) ServiceNames(t ServiceType) []string {
 	var out []string
 	for _, s := range ix.Manifest.Services {
--- a/manifest/manifest_test.go
+++ b/manifest/manifest_test.go
@@ -16,7 +16,7 @@
 var examples = []string{"../examples/te-puna.toml", "../examples/thistlegate.toml"}
 
 var _ = Describe("a manifest", func() {
-	It("is valid in both examples, and knows customers by key only", func() {
+	It("is valid in both examples and finds customers only by their key", func() {
 		for _, path := range examples {
 			raw, err := os.ReadFile(path)
 			Expect(err).NotTo(HaveOccurred())
@@ -31,7 +31,7 @@
 		}
 	})
 
-	It("reports unknown keys, ranges and clashes at once", func() {
+	It("reports unknown keys, out-of-range values and conflicts together", func() {
 		_, err := manifest.Parse([]byte(`
 site = "s"
 colour = "red"
@@ -59,7 +59,7 @@
 		}
 	})
 
-	It("refuses two customers with one key", func() {
+	It("rejects two customers with the same key", func() {
 		h := manifest.HashKey("x")
 		_, err := manifest.Parse([]byte(`site = "s"
 [[service]]
