--- a/modules/modules.go
+++ b/modules/modules.go
@@ -1,5 +1,4 @@
-// Package modules imports every standard module, so that a program which
-// imports it has them registered.
+// Package modules registers all standard modules in a program that imports it.
 package modules
 
 import (
