--- a/eventlog/eventlog.go
+++ b/eventlog/eventlog.go
@@ -1,6 +1,5 @@
-// Package eventlog writes structured log lines without ever holding up the
-// goroutine that logs. A line that finds the writer blocked is dropped and
-// counted.
+// Package eventlog writes structured log lines without blocking the goroutine that
+// logs. Lines are queued, and dropped and counted if the queue is full.
 package eventlog
 
 import (
@@ -15,37 +14,38 @@
 	"github.com/auburnmoor/auburnmoor/ring"
 )
 
-// lines is how many lines may wait for the writer: a second of the busiest
-// instance of a site of 350 (13 requests a second, 4 lines each) many times over.
-const lines = 4096
+// maxPending bounds the queued lines. The busiest of 350 instances logs some 50 lines a
+// second (13 requests with 4 lines each).
+const maxPending = 4096
 
 // Writer is a zapcore.WriteSyncer that never blocks.
 type Writer struct {
 	ring    *ring.Ring[[]byte]
 	idle    chan struct{}
 	pending atomic.Int64
-	// spared counts lines of success that were not written for want of room.
-	spared atomic.Uint64
+	// shed counts the info lines that were dropped early to keep room for failures.
+	shed atomic.Uint64
 }
 
 // NewWriter starts a writer to w.
 func NewWriter(w io.Writer) *Writer {
-	out := &Writer{ring: ring.New[[]byte]("log", lines), idle: make(chan struct{}, 1)}
+	out := &Writer{ring: ring.New[[]byte]("log", maxPending), idle: make(chan struct{}, 1)}
 	go out.run(w)
 	return out
 }
 
-// run writes lines, and how many were dropped once none waits any more.
+// run writes the queued lines and, each time the queue is empty, the number of newly
+// dropped ones.
 func (w *Writer) run(to io.Writer) {
-	told := uint64(0)
+	reported := uint64(0)
 	for line := range w.ring.C() {
-		// There is nowhere to report that the log itself cannot be written.
+		// A failure to write the log cannot be reported anywhere.
 		_, _ = to.Write(line)
 		if w.pending.Add(-1) > 0 {
 			continue
 		}
-		if n := w.Dropped(); n != told {
-			told = n
+		if n := w.Dropped(); n != reported {
+			reported = n
 			_, _ = fmt.Fprintf(to, "{\"level\":\"warn\",\"time\":%q,\"msg\":\"log lines dropped\",\"total\":%d}\n", time.Now().Format(time.RFC3339Nano), n)
 		}
 	}
@@ -60,26 +60,26 @@
 	return len(p), nil
 }
 
-// Dropped counts the lines that were lost.
-func (w *Writer) Dropped() uint64 { return w.ring.Stats().Refusals + w.spared.Load() }
+// Dropped returns the number of lines that were lost.
+func (w *Writer) Dropped() uint64 { return w.ring.Stats().Refusals + w.shed.Load() }
 
-// flushFor bounds how long Sync waits for the writer.
-const flushFor = 200 * time.Millisecond
+// flushTimeout bounds how long Sync waits for queued lines.
+const flushTimeout = 200 * time.Millisecond
 
 // Sync implements zapcore.WriteSyncer.
 func (w *Writer) Sync() error {
-	for end := time.Now().Add(flushFor); w.pending.Load() > 0 && time.Now().Before(end); {
+	for deadline := time.Now().Add(flushTimeout); w.pending.Load() > 0 && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	return nil
 }
 
-// crowded is the share of the waiting lines from which lines of success are
-// dropped, so that the rest is left to failures and changes of state.
-const crowded = 0.5
+// shedThreshold is the fill ratio of the queue above which info lines are dropped, so
+// that the rest is left to failures and state changes.
+const shedThreshold = 0.5
 
-// core drops lines at the info level that belong to a request while many lines
-// wait. Lines of failures are warnings and are dropped only when the ring is full.
+// core drops lines at the info level while the queue is filled above shedThreshold.
+// Failures are logged as warnings and are dropped only when the queue is full.
 type core struct {
 	zapcore.Core
 	w *Writer
@@ -90,14 +90,14 @@
 
 // Check implements zapcore.Core.
 func (c core) Check(e zapcore.Entry, ce *zapcore.CheckedEntry) *zapcore.CheckedEntry {
-	if e.Level == zapcore.InfoLevel && float64(c.w.pending.Load()) > crowded*lines {
-		c.w.spared.Add(1)
+	if e.Level == zapcore.InfoLevel && float64(c.w.pending.Load()) > shedThreshold*maxPending {
+		c.w.shed.Add(1)
 		return ce
 	}
 	return c.Core.Check(e, ce)
 }
 
-// New returns a logger of JSON lines.
+// New returns a logger that writes JSON lines to w.
 func New(w *Writer) *zap.Logger {
 	cfg := zap.NewProductionEncoderConfig()
 	cfg.TimeKey, cfg.EncodeTime = "time", zapcore.RFC3339NanoTimeEncoder
@@ -110,8 +110,8 @@
 	enc.AppendFloat64(float64(d.Microseconds()) / 1000)
 }
 
-// Error is a field with the text of an error. The stacks that the errors carry
-// cost more to print than the rest of the line.
+// Error returns a field with the message of an error. The stack traces that the errors
+// carry cost more to print than the rest of the line.
 func Error(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
--- a/eventlog/eventlog_test.go
+++ b/eventlog/eventlog_test.go
@@ -20,30 +20,30 @@
 
 func TestEventlog(t *testing.T) { testkit.Suite(t, "eventlog") }
 
-// gate blocks writes until it is opened.
-type gate struct {
+// blockingWriter blocks writes until open is closed.
+type blockingWriter struct {
 	open chan struct{}
 	mu   sync.Mutex
 	buf  bytes.Buffer
 }
 
-func (g *gate) Write(p []byte) (int, error) {
+func (g *blockingWriter) Write(p []byte) (int, error) {
 	<-g.open
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.buf.Write(p)
 }
 
-func (g *gate) text() string {
+func (g *blockingWriter) text() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.buf.String()
 }
 
 var _ = Describe("the log", func() {
-	// Requests hang because the collector of the log does not read.
-	It("never blocks, keeps failures longer than successes and tells what it lost", func() {
-		g := &gate{open: make(chan struct{})}
+	// Guards against requests that hang because the log collector does not read.
+	It("never blocks, drops successes before failures and reports what it dropped", func() {
+		g := &blockingWriter{open: make(chan struct{})}
 		w := eventlog.NewWriter(g)
 		log := eventlog.New(w)
 		for range 3000 {
@@ -60,14 +60,14 @@
 	})
 
 	It("writes durations as milliseconds and errors as text", func() {
-		g := &gate{open: make(chan struct{})}
+		g := &blockingWriter{open: make(chan struct{})}
 		close(g.open)
 		eventlog.New(eventlog.NewWriter(g)).Info("x", zap.Duration("took", 1500*time.Microsecond), eventlog.Error(os.ErrNotExist), eventlog.Error(nil))
 		Eventually(g.text, "5s", "5ms").Should(And(ContainSubstring(`"took":1.5`), ContainSubstring(`"error":"file does not exist"`)))
 	})
 })
 
-// sources are the packages whose lines and metrics engineers read on the
+// sources are the packages whose log lines and metrics operators read on the
 // platform.
 var sources = []string{"../control/follow", "../control/members", "../control/loads", "../control/quarantine", "../peerlink", "../serve/relay", "../platform", "../cli", "../eventlog"}
 
@@ -76,7 +76,7 @@
 	metricCalls = regexp.MustCompile(`(?:Counter|Histogram|Gauge|count)\("([a-z_]+)"`)
 )
 
-func names(pattern *regexp.Regexp) map[string]string {
+func callNames(pattern *regexp.Regexp) map[string]string {
 	out := map[string]string{}
 	for _, dir := range sources {
 		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
@@ -96,14 +96,14 @@
 }
 
 var _ = Describe("docs/EVENTS.md", func() {
-	It("lists every event and metric of the code, and no other", func() {
+	It("lists exactly the events and metrics of the code", func() {
 		raw, err := os.ReadFile("../docs/EVENTS.md")
 		Expect(err).NotTo(HaveOccurred())
 		events, metrics, _ := strings.Cut(string(raw), "## Metrics")
 		for _, part := range []struct {
 			text string
 			code map[string]string
-		}{{events, names(eventCalls)}, {metrics, names(metricCalls)}} {
+		}{{events, callNames(eventCalls)}, {metrics, callNames(metricCalls)}} {
 			listed := map[string]bool{}
 			for _, m := range regexp.MustCompile("(?m)^\\| `([^`]+)` \\|").FindAllStringSubmatch(part.text, -1) {
 				listed[m[1]] = true
