--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,7 +1,7 @@
 // Package examples holds the manifests of two sites.
 package examples
 
-import _ "embed" // for the manifest below
+import _ "embed" // for go:embed
 
 // TePuna is the manifest of the Te Puna site.
 //
