--- a/kernel.go
+++ b/kernel.go
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 )
 
-// Identity names one running instance.
+// Identity identifies one running instance.
 type Identity struct {
 	Name        string
 	Incarnation uint64
@@ -22,8 +22,8 @@
 	PeerAddr    string
 	CallerAddr  string
 	AdminAddr   string
-	// Capacity is the processor time of the instance in thousandths of a core, zero if
-	// the settings do not tell it.
+	// Capacity is the number of processor cores of the instance in thousandths, zero if
+	// unknown.
 	Capacity uint32
 }
 
@@ -32,18 +32,18 @@
 	kernel *Kernel
 	Log    *zap.Logger
 	Scope  tally.Scope
-	// Reporter is where the scope reports to.
+	// Reporter receives the metrics of Scope.
 	Reporter tally.CachedStatsReporter
 	Self     Identity
 	// Now is the monotonic time since the process began. Decisions use it
 	// instead of the wall clock, which can jump.
 	Now func() time.Duration
-	// Seed differs between instances; random choices derive from it.
+	// Seed seeds random choices; it differs between instances.
 	Seed uint64
 }
 
-// Require returns another module of the process. It fails when the module is
-// not listed in the caller's Requires, because then the order is undefined.
+// Require returns another module of the process. The caller must list it in its
+// Requires: otherwise it may be missing or not yet provisioned.
 func Require[T any](c *Context, id ModuleID) (T, error) {
 	var zero T
 	m, ok := c.kernel.modules[id]
@@ -64,8 +64,8 @@
 	Scope     tally.Scope
 	Reporter  tally.CachedStatsReporter
 	Configure func(id ModuleID, m Module) error
-	// Load names the modules to load, beside those that they require; empty
-	// loads every registered module that is not OnRequest.
+	// Load lists the modules to load in addition to those that they require;
+	// empty loads every registered module that is not OnRequest.
 	Load []ModuleID
 }
 
@@ -79,8 +79,8 @@
 	cancel  context.CancelFunc
 }
 
-// New loads every registered module, configures and checks it. All problems
-// are reported together.
+// New loads, configures, checks and provisions the modules. All problems of the
+// settings are reported together.
 func New(opts Options) (*Kernel, error) {
 	order, err := Select(opts.Load)
 	if err != nil {
@@ -146,8 +146,8 @@
 	return nil
 }
 
-// Reload configures a second instance of every module and hands it to those
-// that take new settings over. On an error nothing has changed.
+// Reload configures a new copy of every module and passes it to the modules that
+// implement Reloader. If any setting is invalid, none is changed.
 func (k *Kernel) Reload(configure func(id ModuleID, m Module) error) error {
 	fresh := map[ModuleID]Module{}
 	var problems error
@@ -173,7 +173,7 @@
 // Stop drains the modules in reverse order of start, then cleans them up.
 func (k *Kernel) Stop(ctx context.Context) error {
 	var problems error
-	k.backwards(func(id ModuleID, m Module) {
+	k.reverseStarted(func(id ModuleID, m Module) {
 		if d, ok := m.(Drainer); ok {
 			problems = errors.Join(problems, errors.Wrapf(d.Drain(ctx), "drain %s", id))
 		}
@@ -181,7 +181,7 @@
 	if k.cancel != nil {
 		k.cancel()
 	}
-	k.backwards(func(id ModuleID, m Module) {
+	k.reverseStarted(func(id ModuleID, m Module) {
 		if c, ok := m.(Cleaner); ok {
 			problems = errors.Join(problems, errors.Wrapf(c.Cleanup(), "clean up %s", id))
 		}
@@ -190,14 +190,14 @@
 	return problems
 }
 
-func (k *Kernel) backwards(f func(ModuleID, Module)) {
+func (k *Kernel) reverseStarted(f func(ModuleID, Module)) {
 	for i := len(k.started) - 1; i >= 0; i-- {
 		id := k.started[i]
 		f(id, k.modules[id])
 	}
 }
 
-// Dump collects the state of every module that offers one.
+// Dump collects the state of every module that implements Dumper.
 func (k *Kernel) Dump() map[ModuleID]any {
 	out := map[ModuleID]any{}
 	for id, m := range k.modules {
@@ -214,17 +214,17 @@
 // DumpAll lets a module serve the state dump of the whole process.
 func (c *Context) DumpAll() map[ModuleID]any { return c.kernel.Dump() }
 
-// Operate has a module of this process carry out what an operator asks for.
+// Operate carries out an operator's action in a module of this process.
 func (c *Context) Operate(id ModuleID, action, subject string) error {
 	o, ok := c.kernel.Module(id).(Operable)
 	if !ok {
-		return errors.Newf("module %q has nothing to operate", id)
+		return errors.Newf("module %q supports no operator actions", id)
 	}
 	return o.Operate(action, subject)
 }
 
-// Select returns the modules that a process with these settings loads, in the
-// order in which they start.
+// Select returns the modules that a process loads for the given list, in the order
+// in which they start.
 func Select(load []ModuleID) ([]ModuleInfo, error) {
 	all := Modules()
 	if len(load) == 0 {
@@ -239,7 +239,7 @@
 	for _, id := range load {
 		info, ok := byID[id]
 		if !ok {
-			return nil, errors.Newf("no module %q", id)
+			return nil, errors.Newf("module %q is not registered", id)
 		}
 		chosen[id] = info
 		for _, port := range info.Provides {
@@ -251,7 +251,7 @@
 		for _, info := range chosen {
 			for _, id := range info.Requires {
 				dep, known := byID[id]
-				if _, have := chosen[id]; have || provided[id] || !known {
+				if _, isChosen := chosen[id]; isChosen || provided[id] || !known {
 					continue
 				}
 				chosen[id], added = dep, true
@@ -261,8 +261,8 @@
 	return sortByRequires(slices.SortedFunc(maps.Values(chosen), func(a, b ModuleInfo) int { return cmp.Compare(a.ID, b.ID) }))
 }
 
-// Find returns the loaded module that implements T, such as a port with
-// several implementations of which a process loads one.
+// Find returns the loaded module that implements T, for example the one that provides
+// a port.
 func Find[T any](c *Context) (T, error) {
 	var zero T
 	for _, m := range c.kernel.modules {
@@ -285,15 +285,15 @@
 		visiting = 1
 		done     = 2
 	)
-	// A provider is reached by its own name and by those of its ports, so marks
-	// go by its own name.
+	// A module can be reached by its own ID and by those of its ports, so it is
+	// marked by its own ID.
 	mark := map[ModuleID]int{}
 	var order []ModuleInfo
 	var visit func(ModuleInfo) error
 	visit = func(info ModuleInfo) error {
 		switch mark[info.ID] {
 		case visiting:
-			return errors.Newf("modules require each other: %s", info.ID)
+			return errors.Newf("dependency cycle through module %s", info.ID)
 		case done:
 			return nil
 		}
--- a/module.go
+++ b/module.go
@@ -1,6 +1,6 @@
 // Package auburnmoor is the kernel of the serving layer: the registry of
-// modules and the lifecycle of one process. It knows no feature. A feature is
-// a package that registers itself in init under a dotted name and is set up
+// modules and the lifecycle of one process. It contains no features: a feature
+// is a package that registers a module in init under a dotted name and is configured
 // from the settings table of that name.
 package auburnmoor
 
@@ -20,25 +20,25 @@
 type ModuleInfo struct {
 	ID ModuleID
 	// Requires lists modules that are provisioned and started before this one.
-	// A name that no module bears stands for the module that provides it.
+	// A port stands for the loaded module that provides it.
 	Requires []ModuleID
-	// Provides lists the names of ports that this module implements. Among the
-	// modules of one process at most one provides a port.
+	// Provides lists the IDs of the ports that this module implements. At most one
+	// module of a process provides a given port.
 	Provides []ModuleID
-	// OnRequest keeps the module out of processes whose settings do not name it.
+	// OnRequest excludes the module from processes whose settings do not list it.
 	OnRequest bool
 	// New returns an empty instance; its exported fields are its settings.
 	New func() Module
 }
 
 // Module is a feature that the kernel can load. A module may also implement
-// Provisioner, Validator, Starter, Drainer, Cleaner, Dumper and Operable.
+// Provisioner, Validator, Starter, Drainer, Cleaner, Reloader, Dumper and Operable.
 type Module interface {
 	ModuleInfo() ModuleInfo
 }
 
-// Provisioner sets a module up after its settings were read; it must not start
-// goroutines.
+// Provisioner initializes a module after its settings were decoded; it must not
+// start goroutines.
 type Provisioner interface {
 	Provision(*Context) error
 }
@@ -48,13 +48,13 @@
 	Validate() error
 }
 
-// Starter begins a module's duties. The context ends when the process stops.
+// Starter starts a module. The context ends when the process stops.
 type Starter interface {
 	Start(ctx context.Context) error
 }
 
-// Drainer finishes work that callers wait for; it returns when nothing is left
-// or ctx ends. Modules drain in reverse order of start.
+// Drainer completes work that callers wait for; it returns when none is left or
+// ctx ends. Modules drain in reverse order of start.
 type Drainer interface {
 	Drain(ctx context.Context) error
 }
@@ -64,9 +64,9 @@
 	Cleanup() error
 }
 
-// Reloader takes over settings that changed while the process runs. fresh is an
-// instance of the same module with the new settings, configured and validated,
-// that is never started. What cannot change while running stays as it is.
+// Reloader applies settings that changed while the process runs. fresh is a copy of
+// the module with the new settings, configured and validated but never started.
+// Settings that cannot change at run time keep their values.
 type Reloader interface {
 	Reload(fresh Module) error
 }
@@ -77,9 +77,9 @@
 	Dump() any
 }
 
-// Operable carries out what operators ask of a running process.
+// Operable carries out operators' actions on a running process.
 type Operable interface {
-	// Operate carries an action out on a subject, which may be empty.
+	// Operate carries out an action on a subject, which may be empty.
 	Operate(action, subject string) error
 }
 
