--- a/decide/route/route.go
+++ b/decide/route/route.go
@@ -55,9 +55,9 @@
 	Shares []Share
 	// Timeout bounds the time that a request may wait for its answer.
 	Timeout time.Duration
-	// FirstTarget is the latency up to which the first event of a stream, or any other
+	// FirstEventTarget is the latency up to which the first event of a stream, or any other
 	// complete answer, has its full value to the caller.
-	FirstTarget time.Duration
+	FirstEventTarget time.Duration
 	// GapTarget is the longest gap between two events of a stream that does not reduce
 	// their value to the caller.
 	GapTarget time.Duration
@@ -124,9 +124,9 @@
 	Name string
 	// Engine is nil for a plain service.
 	Engine *Engine
-	// TightestPause is the shortest GapTarget of the stream routes to the service; zero
+	// MinGapTarget is the shortest GapTarget of the stream routes to the service; zero
 	// if there are none. NewTable sets it.
-	TightestPause time.Duration
+	MinGapTarget time.Duration
 }
 
 // Customer is an organization whose requests carry one of its API keys.
@@ -196,8 +196,8 @@
 	}
 	for _, share := range r.Shares {
 		s := t.services[share.Service]
-		if s != nil && (s.TightestPause == 0 || r.GapTarget < s.TightestPause) {
-			s.TightestPause = r.GapTarget
+		if s != nil && (s.MinGapTarget == 0 || r.GapTarget < s.MinGapTarget) {
+			s.MinGapTarget = r.GapTarget
 		}
 	}
 }
--- a/serve/relay/exchange.go
+++ b/serve/relay/exchange.go
@@ -250,7 +250,7 @@
 	req := spread.Request{
 		Instance: r.name, DataCentre: r.dataCentre, FleetSize: total, Avoid: x.avoid, NoHelpers: x.state.Sent() > 0 || x.suspect,
 		Prompt: x.req.PromptTokens, Answer: x.answerTokens(),
-		FirstTarget: x.route.FirstTarget, GapTarget: x.route.GapTarget, TightestGap: x.service.TightestPause,
+		FirstTarget: x.route.FirstEventTarget, GapTarget: x.route.GapTarget, TightestGap: x.service.MinGapTarget,
 		Waited: x.heldFor, MaxHold: maxHold, TimeLeft: x.remaining(),
 	}
 	if x.service.Engine == nil {
--- a/serve/relay/hold.go
+++ b/serve/relay/hold.go
@@ -71,7 +71,7 @@
 	if x.state.Sent() > 0 || x.relay.members.Leaving() {
 		return 0
 	}
-	return spread.MaxHold(x.route.FirstTarget, x.timeLimit)
+	return spread.MaxHold(x.route.FirstEventTarget, x.timeLimit)
 }
 
 // joinQueue makes the held request visible to other instances until the returned
@@ -92,7 +92,7 @@
 
 // turn is the request's position among the held deep prompts of all instances.
 func (x *exchange) turn() spread.Turn {
-	return spread.NewTurn(x.service.Engine, x.req.ID, x.req.PromptTokens, x.started, x.route.FirstTarget)
+	return spread.NewTurn(x.service.Engine, x.req.ID, x.req.PromptTokens, x.started, x.route.FirstEventTarget)
 }
 
 // logHeld logs that a request is held and why.
--- a/serve/relay/log.go
+++ b/serve/relay/log.go
@@ -15,7 +15,7 @@
 	x.relay.scope.Tagged(map[string]string{"kind": x.route.Kind.String()}).Histogram("first_seconds", buckets.Durations).RecordDuration(x.firstLatency)
 	x.log("answered", zap.String("server", plan.Writer().ID), zap.Int("helpers", len(plan.Helpers())),
 		zap.Duration("predicted", plan.FirstEvent), zap.Duration("first", x.firstLatency), zap.Duration("longest_gap", x.longestGap), zap.Bool("waiting", plan.Queued),
-		zap.Duration("first_target", x.route.FirstTarget), zap.Duration("gap_target", x.route.GapTarget),
+		zap.Duration("first_target", x.route.FirstEventTarget), zap.Duration("gap_target", x.route.GapTarget),
 		zap.Duration("gap_read", x.gapLoad.UnconfirmedPrefill), zap.Duration("gap_pass", spread.PassTime(x.service.Engine, x.gapLoad)))
 }
 
--- a/serve/relay/timeout.go
+++ b/serve/relay/timeout.go
@@ -18,9 +18,9 @@
 		return x.remaining() + deadlineMargin
 	}
 	if x.route.Kind != route.Stream {
-		return time.Duration(wholeAnswerFactor * float64(x.route.FirstTarget))
+		return time.Duration(wholeAnswerFactor * float64(x.route.FirstEventTarget))
 	}
-	d := max(minFirstEventTimeout, time.Duration(firstEventFactor*float64(x.route.FirstTarget))) + 2*plan.FirstEvent
+	d := max(minFirstEventTimeout, time.Duration(firstEventFactor*float64(x.route.FirstEventTarget))) + 2*plan.FirstEvent
 	if plan.Queued {
 		d += slotWaitTimeout
 	}
@@ -40,7 +40,7 @@
 	t = time.AfterFunc(x.attemptTimeout(plan), func() {
 		<-armed
 		silent := x.relay.now() - time.Duration(x.lastHeard.Load())
-		if attempt.ShouldWait(silent, x.overloaded(plan), x.route.FirstTarget, x.route.GapTarget) {
+		if attempt.ShouldWait(silent, x.overloaded(plan), x.route.FirstEventTarget, x.route.GapTarget) {
 			x.relay.log.Info("attempt extended, servers are overloaded", zap.String("request", x.req.ID), zap.String("server", plan.Writer().ID),
 				zap.Duration("silent", silent), zap.Duration("recent", x.relay.meanBacklog(x.service.Name)))
 			t.Reset(attempt.ExtendInterval)
