--- a/decide/route/route.go
+++ b/decide/route/route.go
@@ -98,25 +98,25 @@
 type Engine struct {
 	// Slots is the number of requests that an engine runs concurrently.
 	Slots int
-	// Memory is the capacity of an engine's KV cache in tokens.
-	Memory int64
+	// KVCacheTokens is the capacity of an engine's KV cache in tokens.
+	KVCacheTokens int64
 	// Step is the base duration of a decode step.
 	Step time.Duration
-	// StepPerWriter is added to a step for each decoding request.
-	StepPerWriter time.Duration
-	// StepPerThousand is added to a step per 1,000 tokens of context.
-	StepPerThousand time.Duration
-	// ReadPerSecond is the prefill speed in prompt tokens per second.
-	ReadPerSecond float64
-	// PairsPerMillion is the attention cost of prefill: the time added per million pairs
+	// StepPerSequence is added to a step for each decoding request.
+	StepPerSequence time.Duration
+	// StepPerThousandTokens is added to a step per 1,000 tokens of context.
+	StepPerThousandTokens time.Duration
+	// PrefillTokensPerSecond is the prefill speed in prompt tokens per second.
+	PrefillTokensPerSecond float64
+	// TimePerMillionPairs is the attention cost of prefill: the time added per million pairs
 	// of a token and an earlier one.
-	PairsPerMillion time.Duration
-	// Chunk is the maximum number of prompt tokens prefilled in a step.
-	Chunk int64
-	// Stride is the number of steps in a pass with decoding requests.
-	Stride int
-	// UsualAnswer is the mean number of tokens in an answer.
-	UsualAnswer int64
+	TimePerMillionPairs time.Duration
+	// PrefillChunk is the maximum number of prompt tokens prefilled in a step.
+	PrefillChunk int64
+	// StepsPerPass is the number of steps in a pass with decoding requests.
+	StepsPerPass int
+	// MeanAnswerTokens is the mean number of tokens in an answer.
+	MeanAnswerTokens int64
 }
 
 // Service is a group of interchangeable backend servers.
--- a/decide/spread/hold.go
+++ b/decide/spread/hold.go
@@ -78,7 +78,7 @@
 		return false
 	}
 	soloPass := PassTime(c.engine, Load{Calls: 1, HeldTokens: c.req.Prompt / (maxHelpers + 1)})
-	passes := minAnswerShare * float64(c.req.Answer) / float64(max(1, c.engine.Stride))
+	passes := minAnswerShare * float64(c.req.Answer) / float64(max(1, c.engine.StepsPerPass))
 	return c.partPrefill(maxHelpers)+time.Duration(passes*float64(soloPass)) > c.req.TimeLeft
 }
 
--- a/decide/spread/plan.go
+++ b/decide/spread/plan.go
@@ -114,11 +114,11 @@
 // PrefillTime is the prefill time of a prompt on an idle engine: linear in its tokens, plus
 // the attention between each pair of tokens.
 func PrefillTime(e *route.Engine, tokens int64) time.Duration {
-	if e.ReadPerSecond <= 0 {
+	if e.PrefillTokensPerSecond <= 0 {
 		return 0
 	}
-	linear := float64(tokens) / e.ReadPerSecond * float64(time.Second)
-	pairs := float64(tokens) * float64(tokens) / 2 / 1e6 * float64(e.PairsPerMillion)
+	linear := float64(tokens) / e.PrefillTokensPerSecond * float64(time.Second)
+	pairs := float64(tokens) * float64(tokens) / 2 / 1e6 * float64(e.TimePerMillionPairs)
 	return time.Duration(linear + pairs)
 }
 
@@ -249,8 +249,8 @@
 	if e == nil {
 		return 0
 	}
-	context := time.Duration(l.HeldTokens) * e.StepPerThousand / 1000
-	return time.Duration(e.Stride) * (e.Step + time.Duration(l.Calls)*e.StepPerWriter + context)
+	context := time.Duration(l.HeldTokens) * e.StepPerThousandTokens / 1000
+	return time.Duration(e.StepsPerPass) * (e.Step + time.Duration(l.Calls)*e.StepPerSequence + context)
 }
 
 // Deep reports whether a prompt must queue at the instances: its prefill takes long, or no
@@ -260,7 +260,7 @@
 }
 
 // usable is the memory of an engine that may be given out.
-func usable(e *route.Engine) int64 { return int64(memoryShare * float64(e.Memory)) }
+func usable(e *route.Engine) int64 { return int64(memoryShare * float64(e.KVCacheTokens)) }
 
 // lateAfter is the wait after which a prompt cannot have its first event within target,
 // even if as many engines as can share it prefill it.
--- a/decide/spread/slots_test.go
+++ b/decide/spread/slots_test.go
@@ -58,7 +58,7 @@
 	// Free slots of an engine whose memory a deep prompt fills cannot be used.
 	It("do not count slots without memory", func() {
 		f := withFree(4)
-		f.ledger.Add("s05", spread.Load{HeldTokens: engine.Memory})
+		f.ledger.Add("s05", spread.Load{HeldTokens: engine.KVCacheTokens})
 		Expect(verdictAfter(f, 0, 0, 0)).To(Equal(spread.Hold))
 	})
 
@@ -67,7 +67,7 @@
 	// idle.
 	It("do not include those that no engine can hold", func() {
 		fast := *engine
-		fast.ReadPerSecond, fast.PairsPerMillion, fast.Memory = 1e6, 0, 100_000
+		fast.PrefillTokensPerSecond, fast.TimePerMillionPairs, fast.KVCacheTokens = 1e6, 0, 100_000
 		f := newFleet(4)
 		p, v := spread.Choose(&fast, f.servers, f.ledger.Total, spread.Request{FleetSize: 4, Prompt: 150_000, Answer: 100, FirstTarget: 300 * time.Millisecond, MaxHold: 900 * time.Millisecond})
 		Expect(v).To(Equal(spread.Placed))
--- a/decide/spread/spread_test.go
+++ b/decide/spread/spread_test.go
@@ -17,8 +17,8 @@
 func TestSpread(t *testing.T) { testkit.Suite(t, "spread") }
 
 var engine = &route.Engine{
-	Slots: 16, Memory: 315_000, Step: 850 * time.Microsecond, StepPerWriter: 4250 * time.Nanosecond, ReadPerSecond: 177_000,
-	PairsPerMillion: 184 * time.Microsecond, Chunk: 2048, Stride: 51, UsualAnswer: 1600,
+	Slots: 16, KVCacheTokens: 315_000, Step: 850 * time.Microsecond, StepPerSequence: 4250 * time.Nanosecond, PrefillTokensPerSecond: 177_000,
+	TimePerMillionPairs: 184 * time.Microsecond, PrefillChunk: 2048, StepsPerPass: 51, MeanAnswerTokens: 1600,
 }
 
 func servers(n int) []backends.Server {
@@ -108,7 +108,7 @@
 			}
 		}
 		for _, s := range f.servers {
-			Expect(f.ledger.Total(s.ID).HeldTokens).To(BeNumerically("<=", engine.Memory))
+			Expect(f.ledger.Total(s.ID).HeldTokens).To(BeNumerically("<=", engine.KVCacheTokens))
 		}
 	})
 
--- a/lab/passes/draw.go
+++ b/lab/passes/draw.go
@@ -84,9 +84,9 @@
 func (e Engine) rate(k Kind, use float64) float64 {
 	spec := e.spec()
 	sq := math.Exp(k.Prompt.Spread * k.Prompt.Spread)
-	read := k.Prompt.Mean/spec.ReadPerSecond + k.Prompt.Mean*k.Prompt.Mean*sq/2e6*spec.PairsPerMillion.Seconds()
-	step := spec.Step + time.Duration(spec.Slots)*(spec.StepPerWriter+time.Duration(k.Prompt.Mean)*spec.StepPerThousand/1000)
-	write := k.Events.Mean * float64(spec.Stride) * step.Seconds() / float64(spec.Slots)
+	read := k.Prompt.Mean/spec.PrefillTokensPerSecond + k.Prompt.Mean*k.Prompt.Mean*sq/2e6*spec.TimePerMillionPairs.Seconds()
+	step := spec.Step + time.Duration(spec.Slots)*(spec.StepPerSequence+time.Duration(k.Prompt.Mean)*spec.StepPerThousandTokens/1000)
+	write := k.Events.Mean * float64(spec.StepsPerPass) * step.Seconds() / float64(spec.Slots)
 	return use * float64(e.Count) / (read + write)
 }
 
--- a/lab/passes/engine.go
+++ b/lab/passes/engine.go
@@ -59,7 +59,7 @@
 
 // reserve sets memory aside if it is free.
 func (e *engine) reserve(q *request, tokens int64) bool {
-	if e.used()+tokens > e.spec.Memory {
+	if e.used()+tokens > e.spec.KVCacheTokens {
 		return false
 	}
 	e.reserved[q] = tokens
@@ -74,13 +74,13 @@
 	}
 	steps := 1
 	if len(e.writers) > 0 {
-		steps = e.spec.Stride
+		steps = e.spec.StepsPerPass
 	}
 	step := e.spec.Step
 	for _, w := range e.writers {
-		step += e.spec.StepPerWriter + time.Duration(w.context)*e.spec.StepPerThousand/1000
+		step += e.spec.StepPerSequence + time.Duration(w.context)*e.spec.StepPerThousandTokens/1000
 	}
-	return time.Duration(steps)*step + e.readSome(e.spec.Chunk*int64(steps)), true
+	return time.Duration(steps)*step + e.readSome(e.spec.PrefillChunk*int64(steps)), true
 }
 
 // admit gives memory to requests in turn and returns those that got it: their
@@ -89,7 +89,7 @@
 	was := len(e.reading)
 	for len(e.waiting) > 0 {
 		q := e.waiting[0]
-		if used := e.used(); used > 0 && used+q.held() > e.spec.Memory {
+		if used := e.used(); used > 0 && used+q.held() > e.spec.KVCacheTokens {
 			break
 		}
 		e.reading = append(e.reading, q)
@@ -137,7 +137,7 @@
 // readTime is the time for n tokens of a prompt. Each part has its share of the
 // pairs of the whole prompt, so the depth of a token is taken as the mean one.
 func readTime(e *route.Engine, r *request, n int64) time.Duration {
-	linear := float64(n) / e.ReadPerSecond * float64(time.Second)
-	pairs := float64(n) * float64(r.prompt) / 2 / 1e6 * float64(e.PairsPerMillion)
+	linear := float64(n) / e.PrefillTokensPerSecond * float64(time.Second)
+	pairs := float64(n) * float64(r.prompt) / 2 / 1e6 * float64(e.TimePerMillionPairs)
 	return time.Duration(linear + pairs)
 }
--- a/lab/passes/instance.go
+++ b/lab/passes/instance.go
@@ -89,7 +89,7 @@
 	left := q.kind.Deadline.Std() - (n.Now() - q.arrived)
 	plan, verdict := spread.Choose(n.spec, n.servers, n.ledger.Total, spread.Request{
 		Instance: n.name, FleetSize: len(n.servers), Avoid: q.avoid,
-		Prompt: q.prompt, Answer: n.spec.UsualAnswer,
+		Prompt: q.prompt, Answer: n.spec.MeanAnswerTokens,
 		FirstTarget: useful, GapTarget: q.kind.Pause.Std(), TightestGap: n.tightest,
 		Waited: waited, MaxHold: spread.MaxHold(useful, left+waited), TimeLeft: left,
 		MustWait: n.queue.MustWait(n.Now(), turn), SlotWaiters: n.queue.SlotWaiters(n.Now()), Draw: n.rand.Float64(),
@@ -107,7 +107,7 @@
 }
 
 // deep reports whether a request's prompt takes its turn.
-func (n *instance) deep(q *request) bool { return spread.Deep(n.spec, q.prompt, n.spec.UsualAnswer) }
+func (n *instance) deep(q *request) bool { return spread.Deep(n.spec, q.prompt, n.spec.MeanAnswerTokens) }
 
 // hold has the others know whether a request waits here.
 func (n *instance) hold(q *request, t spread.Turn, waits bool) {
--- a/lab/passes/load.go
+++ b/lab/passes/load.go
@@ -128,8 +128,8 @@
 // spec is what the placing is told of the engines.
 func (e Engine) spec() *route.Engine {
 	return &route.Engine{
-		Slots: e.Slots, Memory: e.Memory, Step: e.Step.Std(), StepPerWriter: e.StepPerWriter.Std(), StepPerThousand: e.StepPerThousand.Std(),
-		ReadPerSecond: e.ReadPerSecond, PairsPerMillion: e.PairsPerMillion.Std(), Chunk: e.Chunk, Stride: e.Stride, UsualAnswer: e.UsualAnswer,
+		Slots: e.Slots, KVCacheTokens: e.Memory, Step: e.Step.Std(), StepPerSequence: e.StepPerWriter.Std(), StepPerThousandTokens: e.StepPerThousand.Std(),
+		PrefillTokensPerSecond: e.ReadPerSecond, TimePerMillionPairs: e.PairsPerMillion.Std(), PrefillChunk: e.Chunk, StepsPerPass: e.Stride, MeanAnswerTokens: e.UsualAnswer,
 	}
 }
 
--- a/lab/passes/run.go
+++ b/lab/passes/run.go
@@ -47,7 +47,7 @@
 }
 
 // held is the memory of the request at the engine that writes its answer.
-func (q *request) held() int64 { return q.context + int64(q.sent)*int64(q.at.spec.Stride) }
+func (q *request) held() int64 { return q.context + int64(q.sent)*int64(q.at.spec.StepsPerPass) }
 
 // world is a run in progress.
 type world struct {
--- a/serve/relay/exchange.go
+++ b/serve/relay/exchange.go
@@ -273,10 +273,10 @@
 // answerTokens estimates the length of the answer. Answers seldom reach the client's
 // limit; the service's usual length is closer.
 func (x *exchange) answerTokens() int64 {
-	if x.service.Engine == nil || x.service.Engine.UsualAnswer == 0 {
+	if x.service.Engine == nil || x.service.Engine.MeanAnswerTokens == 0 {
 		return x.req.AnswerTokens
 	}
-	return min(x.req.AnswerTokens, x.service.Engine.UsualAnswer)
+	return min(x.req.AnswerTokens, x.service.Engine.MeanAnswerTokens)
 }
 
 // attempt sends the request to the servers of a plan.
