--- a/lab/passes/instance.go
+++ b/lab/passes/instance.go
@@ -107,7 +107,9 @@
 }
 
 // deep reports whether a request's prompt takes its turn.
-func (n *instance) deep(q *request) bool { return spread.Deep(n.spec, q.prompt, n.spec.MeanAnswerTokens) }
+func (n *instance) deep(q *request) bool {
+	return spread.Deep(n.spec, q.prompt, n.spec.MeanAnswerTokens)
+}
 
 // hold has the others know whether a request waits here.
 func (n *instance) hold(q *request, t spread.Turn, waits bool) {
--- a/serve/relay/exchange.go
+++ b/serve/relay/exchange.go
@@ -80,7 +80,7 @@
 	avoid []string
 	// recorded are the servers whose failure in the current attempt is counted.
 	recorded []string
-	// gapWindow evaluates the pauses between events of the current attempt.
+	// gapWindow collects the pauses between events of the current attempt.
 	gapWindow health.GapWindow
 	// retryAfter is the longest Retry-After of servers that did not run the request.
 	retryAfter time.Duration
--- a/serve/relay/relay.go
+++ b/serve/relay/relay.go
@@ -82,7 +82,7 @@
 	retries *retry.Window
 	// lives maps the listed servers to their life, which changes with a restart.
 	lives map[string]backends.Life
-	// slowDetector is the usual pause between events of a stream.
+	// slowDetector learns the usual pause between events of a stream.
 	slowDetector health.SlowDetector
 	// meter averages the prefill backlog of the servers over the last seconds.
 	meter spread.Meter
