--- a/control/follow/era_test.go
+++ b/control/follow/era_test.go
@@ -10,10 +10,10 @@
 	"github.com/auburnmoor/auburnmoor/lab/standin/storeserver"
 )
 
-// back is the time within which entries are written again once the store is back.
-const back = 2 * time.Second
+// rewriteTime is the time within which entries are written again once the store is back.
+const rewriteTime = 2 * time.Second
 
-var _ = Describe("a store that comes back from an older copy", func() {
+var _ = Describe("a store restored from an older copy", func() {
 	var srv *storeserver.Server
 	BeforeEach(func() { srv = startStore() })
 	version := func(f *follow.Follower) func() uint64 {
@@ -34,18 +34,16 @@
 			return ids
 		}
 	}
-	// write raises the revision by n changes of something else.
+	// write raises the revision by n changes of an unrelated object.
 	write := func(n int) {
 		for i := range n {
 			Expect(srv.Put("other", "x", i)).To(Succeed())
 		}
 	}
 
-	// A leaving server goes on getting requests, and a key that was taken away goes on
-	// working: the store came back with lower revisions, and the instances that watch
-	// believed themselves newer than all that it told from then on.
-	// Evidence: a watch from the old revision gets 410, and the list of a lower revision
-	// was dropped.
+	// Guards against a leaving server that keeps getting requests and a removed key that
+	// keeps working: the store came back with lower revisions, a watch from the old revision
+	// got 410, and lists of lower revisions were dropped as older.
 	It("is followed from its new revisions on", func() {
 		srv.Copy()
 		f := start(srv.Addr())
@@ -58,13 +56,13 @@
 		srv.Restore()
 		putServer(srv, "a", "draining")
 		putConfig(srv, 11)
-		Eventually(ready(f), back, "5ms").ShouldNot(ContainElement("a"))
-		Eventually(version(f), back, "5ms").Should(Equal(uint64(11)))
+		Eventually(ready(f), rewriteTime, "5ms").ShouldNot(ContainElement("a"))
+		Eventually(version(f), rewriteTime, "5ms").Should(Equal(uint64(11)))
 	})
 
-	// Revisions are given out again: a watch that goes on from the old one misses what
-	// was written below it.
-	It("is read again although it has given the old revisions out again", func() {
+	// The store reuses revisions: a watch that continues from an old one misses the writes
+	// below it.
+	It("is read in full although it has reused the old revisions", func() {
 		srv.Copy()
 		f := start(srv.Addr())
 		Eventually(ready(f), "3s", "5ms").Should(Equal([]string{"a"}))
@@ -77,12 +75,12 @@
 		write(30)
 		srv.SetFaults(storeserver.Faults{})
 		Eventually(ready(f), "3s", "5ms").Should(ContainElement("b"))
-		Eventually(ready(f), 2*back, "5ms").Should(Equal([]string{"a", "b"}))
+		Eventually(ready(f), 2*rewriteTime, "5ms").Should(Equal([]string{"a", "b"}))
 	})
 
-	// An operator took a key away; the store forgot it, and for a moment the key worked
-	// again.
-	It("never brings an older configuration back", func() {
+	// Guards against a removed key that works again for a moment, since the store lost the
+	// configuration that removed it.
+	It("never rolls the configuration back", func() {
 		srv.Copy()
 		f := start(srv.Addr())
 		putConfig(srv, 9)
@@ -94,9 +92,9 @@
 		Eventually(version(f), "3s", "5ms").Should(Equal(uint64(10)))
 	})
 
-	// All work goes to the few servers that the copy knows, for two seconds: the others
-	// live and write again, but were taken for gone at once.
-	It("keeps servers that live until they have had the time to write again", func() {
+	// Guards against all work going to the few servers in the copy for two seconds, because
+	// live servers missing from it were dropped before they could write their entries again.
+	It("keeps live servers until they have had the time to write their entries again", func() {
 		srv.Copy()
 		f := start(srv.Addr())
 		putServer(srv, "b", "ready")
@@ -106,10 +104,10 @@
 		srv.Restore()
 		Consistently(ready(f), "1200ms", "5ms").Should(Equal([]string{"a", "b", "c"}))
 		putServer(srv, "b", "ready")
-		Eventually(ready(f), back, "5ms").Should(Equal([]string{"a", "b"}))
+		Eventually(ready(f), rewriteTime, "5ms").Should(Equal([]string{"a", "b"}))
 	})
 
-	// New work goes to servers that have ended: the copy still lists them.
+	// Guards against new work for servers that have ended but that the copy still lists.
 	It("sends nothing to servers that left, though the copy lists them", func() {
 		putServer(srv, "b", "ready")
 		srv.Copy()
@@ -120,12 +118,12 @@
 		Eventually(ready(f), "3s", "5ms").Should(BeEmpty())
 		srv.Restore()
 		Consistently(ready(f), "1500ms", "5ms").Should(BeEmpty())
-		// It lives after all and says so.
+		// The server is alive after all and writes its entry.
 		Expect(srv.Put("servers", "b", map[string]any{"service": "s", "address": "10.0.0.2:1", "zone": "z", "slots": 4, "state": "ready"})).To(Succeed())
-		Eventually(ready(f), back, "5ms").Should(Equal([]string{"b"}))
+		Eventually(ready(f), rewriteTime, "5ms").Should(Equal([]string{"b"}))
 	})
 
-	It("is followed when it comes back older twice", func() {
+	It("is followed when it is restored twice", func() {
 		srv.Copy()
 		f := start(srv.Addr())
 		Eventually(ready(f), "3s", "5ms").Should(Equal([]string{"a"}))
@@ -137,7 +135,7 @@
 		time.Sleep(150 * time.Millisecond)
 		srv.Restore()
 		putServer(srv, "c", "ready")
-		Eventually(ready(f), back, "5ms").Should(ContainElements("a", "c"))
-		Eventually(ready(f), 2*back, "5ms").Should(Equal([]string{"a", "c"}))
+		Eventually(ready(f), rewriteTime, "5ms").Should(ContainElements("a", "c"))
+		Eventually(ready(f), 2*rewriteTime, "5ms").Should(Equal([]string{"a", "c"}))
 	})
 })
--- a/control/follow/fleet_test.go
+++ b/control/follow/fleet_test.go
@@ -14,7 +14,7 @@
 // fleetPort is the peer port of the first instance of a fleet; the others' follow.
 const fleetPort = 19810
 
-// startFleet runs instances of one data centre, each before the store of its index.
+// startFleet runs instances of one data centre, each with the store of its index.
 func startFleet(stores []string) []*follow.Follower {
 	var out []*follow.Follower
 	for i, store := range stores {
@@ -23,7 +23,7 @@
 	return out
 }
 
-func repeat(store string, n int) (out []string) {
+func repeatStore(store string, n int) (out []string) {
 	for range n {
 		out = append(out, store)
 	}
@@ -63,7 +63,7 @@
 	return out
 }
 
-func listedReady(fleet []*follow.Follower) func() []int {
+func readyCounts(fleet []*follow.Follower) func() []int {
 	return func() (out []int) {
 		for _, f := range fleet {
 			n := -1
@@ -76,29 +76,29 @@
 	}
 }
 
-var _ = Describe("a fleet before one store", func() {
+var _ = Describe("a fleet with one store", func() {
 	const n = 9
 	var srv *storeserver.Server
 	put := func(version int) { putConfig(srv, version) }
 	server := func(id, state string) { putServer(srv, id, state) }
 	BeforeEach(func() { srv = startStore() })
 
-	// Two thirds of what callers were worth went to calls to the store: each of 22
-	// instances asked it after every pause of two seconds and every change.
+	// Guards against a cost of store calls that grows with the fleet: with each of 22
+	// instances polling every two seconds they cost two thirds of the revenue from callers.
 	It("has five instances that watch, and the others make no calls", func() {
-		fleet := startFleet(repeat(srv.Addr(), n))
+		fleet := startFleet(repeatStore(srv.Addr(), n))
 		Eventually(watchers(fleet), "10s", "50ms").Should(Equal(5))
 		Eventually(versions(fleet), "5s", "10ms").Should(Equal(all(n, 3)))
 		before := srv.Calls("config") + srv.Calls("servers")
 		const span = 2 * time.Second
 		time.Sleep(span)
 		calls := srv.Calls("config") + srv.Calls("servers") - before
-		// Each of five makes two calls in each wait of 200 ms.
+		// Each of the five makes two calls per wait of 200 ms.
 		Expect(calls).To(BeNumerically("<=", 5*2*(int(span/(200*time.Millisecond))+2)))
 	})
 
-	It("has every change everywhere at once", func() {
-		fleet := startFleet(repeat(srv.Addr(), n))
+	It("propagates every change to all instances", func() {
+		fleet := startFleet(repeatStore(srv.Addr(), n))
 		Eventually(watchers(fleet), "10s", "50ms").Should(Equal(5))
 		Eventually(versions(fleet), "5s", "10ms").Should(Equal(all(n, 3)))
 		put(8)
@@ -110,19 +110,20 @@
 		for range n {
 			two = append(two, 2)
 		}
-		Eventually(listedReady(fleet), "2s", "5ms").Should(Equal(two))
+		Eventually(readyCounts(fleet), "2s", "5ms").Should(Equal(two))
 		srv.Delete("servers", "b")
 		for i := range two {
 			two[i] = 1
 		}
-		Eventually(listedReady(fleet), "2s", "5ms").Should(Equal(two))
+		Eventually(readyCounts(fleet), "2s", "5ms").Should(Equal(two))
 		Eventually(func() time.Duration { return fleet[0].Age() }, "3s", "10ms").Should(BeNumerically("<", time.Second))
 	})
 
-	// Requests go on to a server that left: the store turns away just those instances
-	// that watch it, and the others never ask. The next ones ask once the news are old.
-	It("finds others that watch when the store turns all of those away", func() {
-		probe := startFleet(repeat(srv.Addr(), n))
+	// Guards against requests to a server that left: the store rejects just the instances
+	// that watch it, and the others never ask. The next in rank must watch once the last
+	// confirmation is old.
+	It("has other instances watch when the store rejects all watchers", func() {
+		probe := startFleet(repeatStore(srv.Addr(), n))
 		Eventually(watchers(probe), "10s", "50ms").Should(Equal(5))
 		down := storeserver.New("127.0.0.1:0")
 		Expect(down.Start()).To(Succeed())
@@ -150,6 +151,6 @@
 		put(11)
 		server("a", "draining")
 		Eventually(versions(fleet), "4s", "10ms").Should(Equal(all(n, 11)))
-		Eventually(listedReady(fleet), "4s", "10ms").Should(Equal(make([]int, n)))
+		Eventually(readyCounts(fleet), "4s", "10ms").Should(Equal(make([]int, n)))
 	})
 })
--- a/control/follow/follow.go
+++ b/control/follow/follow.go
@@ -1,6 +1,6 @@
-// Package follow keeps the operators' configuration and the list of backend
-// servers up to date. A few instances watch the store that holds them and pass on
-// what changes; the others make no calls to it (decide/watch says which).
+// Package follow keeps the operators' configuration and the list of backend servers up to
+// date. A few instances, selected by decide/watch, watch the store that holds them and
+// forward changes to the others, which make no calls to it.
 package follow
 
 import (
@@ -32,82 +32,82 @@
 
 func init() { auburnmoor.Register(new(Follower)) }
 
-// Times of the duties.
+// Timing of watches and of the propagation of changes.
 const (
-	// defaultWait is how long a watch waits if the settings tell no bounds.
+	// defaultWait is how long a watch waits if neither Wait nor StableAfter is set.
 	defaultWait = 2 * time.Second
-	// shortestWait bounds what a watch costs where bounds hold again at once, and
-	// longestWait is the most that a store lets it wait.
-	shortestWait, longestWait = 500 * time.Millisecond, 30 * time.Second
-	// readAndPass is what reading the whole and passing it on takes: 4 ms and some more
-	// at small instances, with a reserve for those that are busy.
-	readAndPass = 300 * time.Millisecond
-	// watchSlack is what a watch may take beyond its wait; the store answers in
-	// about 4 ms, and in 250 ms when it is slow.
+	// minWait bounds the rate of calls if StableAfter is short, and maxWait is the longest
+	// wait that a store allows.
+	minWait, maxWait = 500 * time.Millisecond, 30 * time.Second
+	// resyncTime bounds reading the full state and sending it to peers: a little over 4 ms
+	// on small instances, with a reserve for busy ones.
+	resyncTime = 300 * time.Millisecond
+	// watchSlack is what a watch may take beyond its wait. The store answers in about 4 ms,
+	// and in 250 ms when it is slow.
 	watchSlack = 600 * time.Millisecond
-	// spreadFor is how long a change takes from one watching instance to all others:
-	// the tree of decide/watch takes milliseconds, gossip and asking about a second.
-	spreadFor = time.Second
-	// stepFor is the further silence for which the next instance waits before it
-	// watches in place of those that are silent.
-	stepFor   = time.Second
-	inboxSize = 64
-	// settleEvery is how often servers are looked through that hold for a while after
-	// the store came back from an older copy.
-	settleEvery = 100 * time.Millisecond
+	// propagationTime is how long a change takes from one watching instance to all others:
+	// milliseconds along the tree of decide/watch, about a second by gossip and requests.
+	propagationTime = time.Second
+	// takeoverStep is the further silence after which the next instance in rank watches in
+	// place of those that are silent.
+	takeoverStep = time.Second
+	inboxSize    = 64
+	// graceCheckInterval is how often the grace periods of servers are checked that begin
+	// when the store is restored from an older copy.
+	graceCheckInterval = 100 * time.Millisecond
 )
 
 // Follower is the module "control.catalog".
 type Follower struct {
-	// Wait is how long one watch waits for a change. By default it follows from
+	// Wait is how long one watch waits for a change. By default it is derived from
 	// StableAfter.
 	Wait settings.Duration `toml:"wait"`
-	// StableAfter is the time after a disturbance of the store or of connections to it
-	// from which on all instances must act on what changed before.
+	// StableAfter is the time after the end of a disturbance of the store, or of connections
+	// to it, within which all instances must apply the changes made before.
 	StableAfter settings.Duration `toml:"stable_after"`
 
-	log     *zap.Logger
-	now     func() time.Duration
-	name    string
-	scope   tally.Scope
-	catalog catalog.Catalog
-	link    *peerlink.Link
-	members *members.Members
-	policy  watch.Policy
+	log         *zap.Logger
+	now         func() time.Duration
+	name        string
+	scope       tally.Scope
+	catalog     catalog.Catalog
+	link        *peerlink.Link
+	members     *members.Members
+	watchPolicy watch.Policy
 
 	table   atomic.Pointer[route.Table]
-	raw     atomic.Pointer[content]
+	encoded atomic.Pointer[content]
 	servers atomic.Pointer[backends.Snapshot]
-	// confirmed is when an instance that watches last heard from the store of what is
-	// held here, in nanoseconds since the start; zero before it did.
-	confirmed atomic.Int64
-	// replacing is the newest configuration that another instance was heard to hold while
-	// it was not held here.
-	replacing atomic.Pointer[heardConfig]
-	holds     knowledge.Policy
-	// storeFailing tells that the last call for the list of servers failed.
+	// confirmedAt is when the store last confirmed the local content to a watching instance,
+	// in nanoseconds since the start; zero before the first time.
+	confirmedAt atomic.Int64
+	// newerConfig is the newest configuration that another instance announced while this
+	// instance did not have it.
+	newerConfig   atomic.Pointer[announcedConfig]
+	confirmPolicy knowledge.Policy
+	// storeFailing is set while the last call for the list of servers failed.
 	storeFailing atomic.Bool
 	recovery     recovery
-	inbox        *ring.Ring[configFrom]
-	newer        *ring.Ring[offer]
-	// adopting lets one goroutine at a time decide which configuration is in force.
-	adopting sync.Mutex
+	inbox        *ring.Ring[peerConfig]
+	offers       *ring.Ring[offer]
+	// adoptMu lets one goroutine at a time decide which configuration is in force.
+	adoptMu sync.Mutex
 
-	// mu guards what follows, which reads of the store and word of peers change.
-	mu  sync.Mutex
-	set *backends.Set
-	bad unreadable
-	// configAt is the position of the store up to which the configuration held is the
-	// newest, configRead whether any was read or came from a peer.
-	configAt   position.Position
-	configRead bool
-	news       *watch.News
-	direct     map[string]time.Duration
-	// era is the era of the store that news and direct belong to.
+	// mu guards the fields below, which change with reads of the store and peer messages.
+	mu                sync.Mutex
+	serverSet         *backends.Set
+	unreadableServers unreadable
+	// configAt is the store position up to which the local configuration is the newest, and
+	// configKnown whether one was read from the store or received from a peer.
+	configAt      position.Position
+	configKnown   bool
+	confirmations *watch.News
+	answeredAt    map[string]time.Duration
+	// era is the store era that confirmations and answeredAt belong to.
 	era uint64
-	// behind is the version of the configuration that the store holds while it is older
-	// than the one in force.
-	behind uint64
+	// olderStoreVersion is the version of the configuration in the store while it is older
+	// than the one in force, else zero.
+	olderStoreVersion uint64
 }
 
 // ModuleInfo implements auburnmoor.Module.
@@ -130,66 +130,66 @@
 	if f.members, err = auburnmoor.Require[*members.Members](c, members.ID); err != nil {
 		return err
 	}
-	f.Wait = settings.Duration(f.wait())
-	f.policy = watch.Policy{StaleAfter: f.Wait.Std() + watchSlack + spreadFor, Step: stepFor}
-	f.holds = knowledge.Policy{HoldsFor: f.policy.StaleAfter}
+	f.Wait = settings.Duration(f.watchWait())
+	f.watchPolicy = watch.Policy{StaleAfter: f.Wait.Std() + watchSlack + propagationTime, Step: takeoverStep}
+	f.confirmPolicy = knowledge.Policy{HoldsFor: f.watchPolicy.StaleAfter}
 	f.log, f.now, f.name, f.scope, f.catalog = c.Log, c.Now, c.Self.Name, c.Scope, src.Catalog()
-	f.set, f.bad = backends.NewSet(), unreadable{}
-	f.news, f.direct = watch.NewNews(), map[string]time.Duration{}
-	f.inbox = ring.New[configFrom]("catalog.inbox", inboxSize)
-	f.newer = ring.New[offer]("catalog.newer", inboxSize)
-	f.members.Carry(f.tell)
+	f.serverSet, f.unreadableServers = backends.NewSet(), unreadable{}
+	f.confirmations, f.answeredAt = watch.NewNews(), map[string]time.Duration{}
+	f.inbox = ring.New[peerConfig]("catalog.inbox", inboxSize)
+	f.offers = ring.New[offer]("catalog.newer", inboxSize)
+	f.members.Carry(f.addToGossip)
 	f.link.Handle(f.receive)
 	return nil
 }
 
-// wait is how long a watch may wait. One that began in a disturbance may hear nothing of
-// changes and not be cut; it must have ended, and the whole must be read and passed on,
-// by the time from which on bounds hold again.
-func (f *Follower) wait() time.Duration {
+// watchWait is how long a watch may wait. One that began in a disturbance may miss changes
+// without failing, so it must have ended, and the full state must have been read and sent
+// to peers, within StableAfter.
+func (f *Follower) watchWait() time.Duration {
 	if f.Wait > 0 {
 		return f.Wait.Std()
 	}
 	if f.StableAfter == 0 {
 		return defaultWait
 	}
-	return min(longestWait, max(shortestWait, f.StableAfter.Std()-watchSlack-readAndPass))
+	return min(maxWait, max(minWait, f.StableAfter.Std()-watchSlack-resyncTime))
 }
 
 // Start implements auburnmoor.Starter.
 func (f *Follower) Start(ctx context.Context) error {
 	go f.followConfig(ctx)
 	go f.followServers(ctx)
-	go f.askPeers(ctx)
-	go f.askServers(ctx)
-	go wait.Every(ctx, settleEvery, f.settle)
+	go f.syncWithPeers(ctx)
+	go f.bootstrapServers(ctx)
+	go wait.Every(ctx, graceCheckInterval, f.expireGracePeriods)
 	return nil
 }
 
-// Table returns the configuration in force, or nil before any is known.
+// Table returns the configuration in force, or nil if there is none yet.
 func (f *Follower) Table() *route.Table { return f.table.Load() }
 
-// Servers returns the present list of servers, or nil before any is known.
+// Servers returns the current list of servers, or nil if there is none yet.
 func (f *Follower) Servers() *backends.Snapshot { return f.servers.Load() }
 
 // Ready reports whether requests can be served.
 func (f *Follower) Ready() bool { return f.Table() != nil && f.Servers() != nil }
 
-// Age is the time since the store last confirmed, to an instance that watches it, the
-// configuration and the list of servers that are held.
-func (f *Follower) Age() time.Duration { return f.now() - time.Duration(f.confirmed.Load()) }
+// Age is the time since the store last confirmed the local configuration and list of
+// servers to a watching instance.
+func (f *Follower) Age() time.Duration { return f.now() - time.Duration(f.confirmedAt.Load()) }
 
-// ConfigState is how far the configuration in force can be relied on.
+// ConfigState reports whether the configuration in force is confirmed as the newest.
 func (f *Follower) ConfigState() knowledge.State {
-	at := time.Duration(f.confirmed.Load())
-	return f.holds.State(f.now(), knowledge.Held{Any: f.Table() != nil, Replaced: f.replaced(), Ever: at > 0, ConfirmedAt: at})
+	at := time.Duration(f.confirmedAt.Load())
+	return f.confirmPolicy.State(f.now(), knowledge.Held{Any: f.Table() != nil, Replaced: f.superseded(), Ever: at > 0, ConfirmedAt: at})
 }
 
-// replaced reports whether another live instance holds a newer configuration. What none was
-// heard to hold for a while is lost with the one that did.
-func (f *Follower) replaced() bool {
-	newest := f.replacing.Load()
-	return newest != nil && f.now()-newest.at <= f.holds.HoldsFor && f.configID().older(newest.id)
+// superseded reports whether another live instance has a newer configuration. One that was
+// not announced for a while counts as lost with the instance that had it.
+func (f *Follower) superseded() bool {
+	newest := f.newerConfig.Load()
+	return newest != nil && f.now()-newest.at <= f.confirmPolicy.HoldsFor && f.configID().supersededBy(newest.id)
 }
 
 func (f *Follower) version() uint64 {
@@ -199,58 +199,58 @@
 	return 0
 }
 
-// changed tells the members whether this instance can serve by now.
-func (f *Follower) changed() { f.members.SetServing(f.Ready()) }
+// updateServing reports to control/members whether this instance can serve.
+func (f *Follower) updateServing() { f.members.SetServing(f.Ready()) }
 
 // Dump implements auburnmoor.Dumper.
 func (f *Follower) Dump() any {
 	st, now := f.members.Standing(), f.now()
-	d := Dump{Era: f.catalog.Era(), ConfigVersion: f.version(), ConfigState: f.ConfigState(), AgeMS: f.Age().Milliseconds(), Rank: st.Rank, Watchers: st.Watchers, Watching: f.due()}
+	d := Dump{Era: f.catalog.Era(), ConfigVersion: f.version(), ConfigState: f.ConfigState(), AgeMS: f.Age().Milliseconds(), Rank: st.Rank, Watchers: st.Watchers, Watching: f.hasWatchDuty()}
 	if s := f.Servers(); s != nil {
 		d.ServersAt, d.Servers = s.At.String(), s.Len()
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, h := range f.news.Newest(now, mostTold) {
+	for _, h := range f.confirmations.Newest(now, maxConfirmations) {
 		d.Heard = append(d.Heard, DumpHeard{By: h.By, AgeMS: (now - h.At).Milliseconds()})
 	}
-	d.Kept, d.Doubted = f.set.Kept(), f.set.Doubted()
-	d.ConfigAt, d.ConfigBehind, d.Unreadable = f.configAt.String(), f.behind, maps.Clone(f.bad)
+	d.Kept, d.Doubted = f.serverSet.Kept(), f.serverSet.Doubted()
+	d.ConfigAt, d.ConfigBehind, d.Unreadable = f.configAt.String(), f.olderStoreVersion, maps.Clone(f.unreadableServers)
 	return d
 }
 
-// Dump is what an instance believes of the store's content, how old it is, and whether
-// it watches the store itself.
+// Dump is the state of the module: the local content, its age, and whether this instance
+// watches the store.
 type Dump struct {
-	// Era is the newest era of the store that is known of.
+	// Era is the newest known era of the store.
 	Era           uint64 `json:"era"`
 	ConfigVersion uint64 `json:"config_version"`
-	// ConfigState is how far the configuration can be relied on.
+	// ConfigState tells whether the configuration is confirmed as the newest.
 	ConfigState knowledge.State `json:"config_state"`
-	// ConfigAt and ServersAt are positions of the store: era/revision.
+	// ConfigAt and ServersAt are store positions: era/revision.
 	ConfigAt string `json:"config_at"`
-	// ConfigBehind is the version that the store holds while it is older than the one in
-	// force, zero if it is not.
+	// ConfigBehind is the version in the store if it is older than the one in force, else
+	// zero.
 	ConfigBehind uint64 `json:"config_behind,omitempty"`
 	Servers      int    `json:"servers"`
 	ServersAt    string `json:"servers_at"`
 	// Kept servers are used though the store lost their entries, Doubted ones are listed
-	// and not used, both for seconds after the store came back from a copy.
+	// but not used, both for seconds after the store was restored from an older copy.
 	Kept    int   `json:"kept,omitempty"`
 	Doubted int   `json:"doubted,omitempty"`
 	AgeMS   int64 `json:"age_ms"`
-	// Rank is the place of the instance among those of its data centre, of which the
-	// first Watchers watch.
+	// Rank is the position of the instance among those of its data centre, of which the
+	// first Watchers watch the store.
 	Rank     int  `json:"rank"`
 	Watchers int  `json:"watchers"`
 	Watching bool `json:"watching"`
-	// Heard are the instances that watch, with the age of the last word from them.
+	// Heard lists watching instances, with the age of their last answer from the store.
 	Heard []DumpHeard `json:"heard,omitempty"`
-	// Unreadable are the entries of servers that cannot be read, with the reason.
+	// Unreadable maps server entries that cannot be read to the reason.
 	Unreadable map[string]string `json:"unreadable,omitempty"`
 }
 
-// DumpHeard is when an instance that watches last heard from the store.
+// DumpHeard is how long ago the store last answered a watching instance.
 type DumpHeard struct {
 	By    string `json:"by"`
 	AgeMS int64  `json:"age_ms"`
--- a/control/follow/follow_test.go
+++ b/control/follow/follow_test.go
@@ -24,30 +24,30 @@
 // firstPeer is the peer address of the first instance of a test.
 const firstPeer = "127.0.0.1:19800"
 
-// start runs the modules that follow a store, with waits of 200 ms.
+// start runs an instance that follows a store, with watch waits of 200 ms.
 func start(store string) *follow.Follower { return startAt(store, "e", firstPeer) }
 
 func startAt(store, name, peerAddr string) *follow.Follower {
 	return startIn(store, name, peerAddr, firstPeer)
 }
 
-// running ends the processes of the present test.
-var running []func()
+// stopFuncs stop the processes of the current test.
+var stopFuncs []func()
 
-// stopAll ends the processes that the present test started so far.
+// stopAll stops the processes that the current test has started so far.
 func stopAll() {
-	for _, stop := range running {
+	for _, stop := range stopFuncs {
 		stop()
 	}
-	running = nil
+	stopFuncs = nil
 }
 
 func startIn(store, name, peerAddr, seed string) *follow.Follower {
 	return startWith(store, name, peerAddr, seed, `wait = "200ms"`)
 }
 
-// startWith is startIn with settings of the module's own.
-func startWith(store, name, peerAddr, seed, own string) *follow.Follower {
+// startWith is startIn with other settings of the module.
+func startWith(store, name, peerAddr, seed, moduleSettings string) *follow.Follower {
 	f, err := settings.Parse("f", []byte(fmt.Sprintf(`
 [instance]
 name = %q
@@ -65,12 +65,12 @@
 [control.members]
 few_listed = true
 gossip = "200ms"
-`, name, peerAddr, store, seed, own)))
+`, name, peerAddr, store, seed, moduleSettings)))
 	Expect(err).NotTo(HaveOccurred())
 	p, err := process.New(f, zap.NewNop())
 	Expect(err).NotTo(HaveOccurred())
 	Expect(p.Start(context.Background())).To(Succeed())
-	running = append(running, sync.OnceFunc(func() {
+	stopFuncs = append(stopFuncs, sync.OnceFunc(func() {
 		Expect(p.Stop(context.Background())).To(Succeed())
 		Expect(p.Close()).To(Succeed())
 	}))
@@ -78,7 +78,7 @@
 	return p.Module(follow.ID).(*follow.Follower)
 }
 
-// startStore runs a store that holds a configuration of version 3 and a ready server.
+// startStore runs a store with a configuration of version 3 and a ready server.
 func startStore() *storeserver.Server {
 	srv := storeserver.New("127.0.0.1:0")
 	Expect(srv.Start()).To(Succeed())
@@ -118,7 +118,7 @@
 		}
 	}
 
-	It("adopts what changes", func() {
+	It("adopts changes", func() {
 		f := start(srv.Addr())
 		Eventually(version(f), "3s", "5ms").Should(Equal(uint64(3)))
 		Eventually(ready(f), "3s", "5ms").Should(Equal(1))
@@ -129,8 +129,8 @@
 		Eventually(ready(f), "3s", "5ms").Should(Equal(2))
 	})
 
-	// A key that was taken away works again: a read that was seconds behind
-	// brought an older version back.
+	// Guards against a removed key that works again because a stale read brought an older
+	// version back.
 	It("never goes back to an older version", func() {
 		f := start(srv.Addr())
 		Eventually(version(f), "3s", "5ms").Should(Equal(uint64(3)))
@@ -140,8 +140,8 @@
 		Consistently(version(f), "300ms", "20ms").Should(Equal(uint64(9)))
 	})
 
-	// A leaving server goes on getting requests: the watch was open but silent,
-	// and the change was dropped from the history meanwhile.
+	// Guards against a leaving server that keeps getting requests: the watch was open but
+	// silent, and the change dropped out of the history meanwhile.
 	DescribeTable("catches up after", func(f storeserver.Faults) {
 		fol := start(srv.Addr())
 		Eventually(ready(fol), "3s", "5ms").Should(Equal(1))
@@ -161,9 +161,8 @@
 		Entry("a dropped history", storeserver.Faults{ForgetHistory: true}),
 	)
 
-	// Labels are refused for ten seconds: an instance was replaced while the store
-	// was down and had no servers until it returned. Its peers knew them all the
-	// while.
+	// Guards against an instance that refuses requests for ten seconds: it started while the
+	// store was down and had no server list until the store returned, though its peers did.
 	It("takes servers and configuration from a peer while the store is down", func() {
 		first := start(srv.Addr())
 		Eventually(ready(first), "3s", "5ms").Should(Equal(1))
@@ -181,12 +180,11 @@
 		Eventually(ready(second), "10s", "10ms").Should(BeZero())
 	})
 
-	// A key that was taken away works for two seconds too long. The store's watches heard
-	// nothing for a second while the configuration changed, and were not cut; a watch that
-	// began in that second was believed for its wait of 3.4 s and the slack. What changed
-	// in a disturbance must be in force when the store has been well for three seconds.
-	// Evidence: on six instances all watches were renewed 3.35 s after the disturbance.
-	It("has in force what changed while its watch was mute, before bounds hold again", func() {
+	// Guards against a removed key that works two seconds too long: during a disturbance
+	// watches stayed open but reported no changes, and one that began then was trusted for
+	// its whole wait of 3.4 s. A change made in a disturbance must be in force three seconds
+	// after the store has recovered.
+	It("adopts a change made while its watch was mute within stable_after", func() {
 		const stable = 3 * time.Second
 		f := startWith(srv.Addr(), "e", firstPeer, firstPeer, `stable_after = "3s"`)
 		Eventually(version(f), "3s", "5ms").Should(Equal(uint64(3)))
@@ -200,7 +198,7 @@
 		Eventually(version(f), stable, "5ms").Should(Equal(uint64(9)))
 	})
 
-	It("is not ready without a store and tells how old its knowledge is", func() {
+	It("is not ready until the store answers for the first time", func() {
 		srv.SetFaults(storeserver.Faults{Down: true})
 		f := start(srv.Addr())
 		Consistently(f.Ready, "200ms", "20ms").Should(BeFalse())
--- a/control/follow/outage.go
+++ b/control/follow/outage.go
@@ -13,29 +13,28 @@
 	"github.com/auburnmoor/auburnmoor/internal/wait"
 )
 
-// Times of the calls by which an instance learns that the store is back. A call that
-// hangs, the longest pause and the answer fit into StableAfter, by the end of which what
-// changed meanwhile must be in force.
+// Timing of the calls that detect the recovery of the store. A call that hangs, the longest
+// backoff and the answer together fit into StableAfter, within which changes made during
+// the outage must be in force.
 const (
-	// probeWait is how long the store waits for a change before it answers a call after a
-	// failed one.
+	// probeWait is how long the store waits for changes in a watch after a failed call.
 	probeWait = 10 * time.Millisecond
-	// probeSlack is what such a call may take beyond that; a store that is slow answers in
-	// 250 ms.
+	// probeSlack is what such a call may take beyond that. A slow store answers in 250 ms.
 	probeSlack = 800 * time.Millisecond
-	// Pauses after a failed call; drawn, so that the instances do not return to
-	// a store that was down all at once. Servers whose entries lapsed meanwhile are
-	// back two seconds after the store.
-	firstPause, longestPause = 50 * time.Millisecond, time.Second
-	// othersPause is the longest pause of an instance that others tell what it needs.
-	othersPause = 3 * time.Second
+	// Backoff after failed calls, with jitter so that the instances do not all return at
+	// once to a store that was down. Servers whose entries expired meanwhile are listed
+	// again two seconds after the store is back.
+	initialBackoff, maxBackoff = 50 * time.Millisecond, time.Second
+	// maxStandbyBackoff is the longest backoff of an instance that watches only in place of
+	// others and has content to serve from.
+	maxStandbyBackoff = 3 * time.Second
 )
 
-// errRegained ends a call because another one, begun later, was answered: the call may
-// have hung since the store was away.
-var errRegained = errors.New("the store answers again")
+// errRecovered is the result of a call that was cancelled because the store answered the
+// other loop after an outage: the call may have hung since the store was unreachable.
+var errRecovered = errors.New("the store answers again")
 
-// recovery tells the loops that the store answers again.
+// recovery notifies the loops that the store answers again.
 type recovery struct {
 	mu   sync.Mutex
 	ctx  context.Context
@@ -54,8 +53,8 @@
 	return r.ctx
 }
 
-// announce ends the contexts given out so far, unless a recovery was announced since the
-// outage began: the other loop has called again since then.
+// announce cancels the contexts returned so far, unless a recovery was announced since the
+// outage began: the other loop has made a new call since then.
 func (r *recovery) announce(now, began time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,28 +65,28 @@
 	}
 }
 
-// outage is what one loop went through since the store last answered it.
+// outage is the state of one loop since the store last answered it.
 type outage struct {
-	// failures counts the calls that failed one after the other.
+	// failures counts consecutive failed calls.
 	failures int
-	// began is when the first of them failed, or when the loop first waited for the other.
+	// began is when the first of them failed, or when the loop began to wait for the other.
 	began time.Duration
-	// call is how long the last call took.
-	call time.Duration
-	// hung is the time spent in failed calls, paused that after them, and idle that without
-	// a call because the other loop's calls failed.
+	// lastCall is how long the last call took.
+	lastCall time.Duration
+	// hung is the time spent in failed calls, paused the backoff after them, and idle the
+	// time without calls because the other loop's calls failed.
 	hung, paused, idle time.Duration
 }
 
-// begin notes when the outage began, if it is new.
+// begin records the time if the outage is new.
 func (o *outage) begin(now time.Duration) {
 	if o.failures == 0 && o.idle == 0 {
 		o.began = now
 	}
 }
 
-func (f *Follower) lost(w *watcher, err error) {
-	if w.name == whatServers {
+func (f *Follower) recordFailure(w *watcher, err error) {
+	if w.name == sourceServers {
 		f.storeFailing.Store(true)
 	}
 	f.scope.Tagged(map[string]string{"what": w.name}).Counter("store_failures_total").Inc(1)
@@ -96,51 +95,50 @@
 		f.log.Warn("store lost", zap.String("what", w.name), eventlog.Error(err))
 	}
 	w.outage.failures++
-	w.outage.hung += w.outage.call
+	w.outage.hung += w.outage.lastCall
 }
 
-func (f *Follower) regained(w *watcher) {
-	if w.name == whatServers {
+func (f *Follower) recordRecovery(w *watcher) {
+	if w.name == sourceServers {
 		f.storeFailing.Store(false)
 	}
 	if o := w.outage; o.failures > 0 || o.idle > 0 {
 		f.recovery.announce(f.now(), o.began)
 		f.log.Info("store regained", zap.String("what", w.name), zap.Int("failed_calls", o.failures), zap.Duration("after", f.now()-o.began),
-			zap.Duration("hung", o.hung), zap.Duration("paused", o.paused), zap.Duration("idle", o.idle), zap.Duration("answered_in", o.call))
+			zap.Duration("hung", o.hung), zap.Duration("paused", o.paused), zap.Duration("idle", o.idle), zap.Duration("answered_in", o.lastCall))
 	}
 	w.outage = outage{}
 }
 
-// pause waits after a failed call, until the store answers the other loop if it does so
-// before. An instance that comes to watch as long as it lives meanwhile waits no longer
-// than such instances do.
-func (f *Follower) pause(ctx context.Context, w *watcher) {
-	drawn := retry.Backoff(w.rand, firstPause, f.longestPause(), w.outage.failures)
-	back := f.recovery.next()
-	for began := f.now(); ctx.Err() == nil && back.Err() == nil; {
-		left := min(drawn, f.longestPause()) - (f.now() - began)
-		if left <= 0 {
+// backOff waits after a failed call, or until the store answers the other loop. If this
+// instance becomes a primary watcher meanwhile, the shorter limit of those applies.
+func (f *Follower) backOff(ctx context.Context, w *watcher) {
+	delay := retry.Backoff(w.rand, initialBackoff, f.backoffLimit(), w.outage.failures)
+	recovered := f.recovery.next()
+	for began := f.now(); ctx.Err() == nil && recovered.Err() == nil; {
+		remaining := min(delay, f.backoffLimit()) - (f.now() - began)
+		if remaining <= 0 {
 			return
 		}
-		w.outage.paused += f.untilRegained(ctx, min(left, dutyEvery))
+		w.outage.paused += f.awaitRecovery(ctx, min(remaining, dutyCheckInterval))
 	}
 }
 
-// untilRegained waits until the store answers the other loop, for a time at most, and
+// awaitRecovery waits until the store answers the other loop, at most for limit, and
 // returns how long it waited.
-func (f *Follower) untilRegained(ctx context.Context, most time.Duration) time.Duration {
+func (f *Follower) awaitRecovery(ctx context.Context, limit time.Duration) time.Duration {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(f.recovery.next(), cancel)()
 	began := f.now()
-	wait.For(ctx, most)
+	wait.For(ctx, limit)
 	return f.now() - began
 }
 
-// longestPause is the longest pause after failed calls.
-func (f *Follower) longestPause() time.Duration {
+// backoffLimit is the longest backoff after failed calls.
+func (f *Follower) backoffLimit() time.Duration {
 	if f.Ready() && !f.members.Standing().Primary() {
-		return othersPause
+		return maxStandbyBackoff
 	}
-	return longestPause
+	return maxBackoff
 }
--- a/control/follow/outage_test.go
+++ b/control/follow/outage_test.go
@@ -11,49 +11,49 @@
 	"github.com/auburnmoor/auburnmoor/lab/standin/storeserver"
 )
 
-// alonePort is the peer port of the first of several instances that know no other.
-const alonePort = 19840
+// isolatedPort is the peer port of the first of several instances without peers.
+const isolatedPort = 19840
 
-var _ = Describe("changes held up by an outage of the store", func() {
+var _ = Describe("changes delayed by an outage of the store", func() {
 	const (
-		// stable is the time after a disturbance of the store from which bounds hold again.
+		// stable is the time after an outage by which changes must be in force.
 		stable = 3 * time.Second
-		// n instances, each before a store of its own, begin apart, so that the end of an
-		// outage finds them at any point of their calls.
-		n, apart = 12, 230 * time.Millisecond
-		outage   = 6 * time.Second
+		// n instances, each with its own store, start at intervals, so that the end of an
+		// outage meets them at different points of their calls.
+		n, startInterval = 12, 230 * time.Millisecond
+		outage           = 6 * time.Second
 	)
-	// Guards against an instance that answers by an older configuration for seconds after
-	// an outage, because a watch that hears of no change holds up the question for others.
-	DescribeTable("are in force everywhere once bounds hold again", func(f storeserver.Faults) {
-		var alone []*follow.Follower
+	// Guards against an instance that uses an older configuration for seconds after an
+	// outage, because it waits for a watch that reports no changes.
+	DescribeTable("are in force everywhere within stable_after", func(f storeserver.Faults) {
+		var isolated []*follow.Follower
 		var stores []*storeserver.Server
 		all := func(v uint64) []uint64 { return all(n, v) }
 		for i := range n {
 			stores = append(stores, startStore())
-			addr := fmt.Sprintf("127.0.0.1:%d", alonePort+i)
-			alone = append(alone, startWith(stores[i].Addr(), fmt.Sprintf("a%d", i), addr, addr, `stable_after = "3s"`))
-			time.Sleep(apart)
+			addr := fmt.Sprintf("127.0.0.1:%d", isolatedPort+i)
+			isolated = append(isolated, startWith(stores[i].Addr(), fmt.Sprintf("a%d", i), addr, addr, `stable_after = "3s"`))
+			time.Sleep(startInterval)
 		}
-		Eventually(versions(alone), "5s", "10ms").Should(Equal(all(3)))
-		Eventually(watchers(alone), "10s", "10ms").Should(Equal(n))
-		suffer := func(f storeserver.Faults) {
+		Eventually(versions(isolated), "5s", "10ms").Should(Equal(all(3)))
+		Eventually(watchers(isolated), "10s", "10ms").Should(Equal(n))
+		setFaults := func(f storeserver.Faults) {
 			for _, srv := range stores {
 				srv.SetFaults(f)
 			}
 		}
-		suffer(f)
+		setFaults(f)
 		time.Sleep(outage)
-		suffer(storeserver.Faults{})
-		back := time.Now()
-		const last = 9
-		for v := 4; v <= last; v++ {
+		setFaults(storeserver.Faults{})
+		restored := time.Now()
+		const lastVersion = 9
+		for v := 4; v <= lastVersion; v++ {
 			for _, srv := range stores {
 				putConfig(srv, v)
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		Eventually(versions(alone), stable-time.Since(back), "10ms").Should(Equal(all(last)))
+		Eventually(versions(isolated), stable-time.Since(restored), "10ms").Should(Equal(all(lastVersion)))
 	},
 		Entry("after silence", storeserver.Faults{Silent: true}),
 		Entry("after refusals", storeserver.Faults{Down: true}),
--- a/control/follow/peers.go
+++ b/control/follow/peers.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// askPeerAfter is the time that the store and the instances that watch it get to
-	// tell of what a peer has already, before the peer is asked for it.
-	askPeerAfter = 300 * time.Millisecond
-	// mostTold bounds the instances that watch of which one message tells.
-	mostTold = 8
-	// askServersEvery is how often a peer is asked for the list of servers while
-	// this instance holds none.
-	askServersEvery = 500 * time.Millisecond
+	// peerRequestDelay is how long an instance waits for the store and the watching
+	// instances to deliver content that a peer announced, before it requests it there.
+	peerRequestDelay = 300 * time.Millisecond
+	// maxConfirmations bounds the confirmations in one gossip message and in the dump.
+	maxConfirmations = 8
+	// serversRequestInterval is how often an instance without a list of servers requests
+	// it from a peer.
+	serversRequestInterval = 500 * time.Millisecond
 )
 
-// offer is something newer that a peer holds.
+// offer is what a peer announced in gossip: the state of its configuration and servers.
 type offer struct {
 	peer    string
 	config  configID
@@ -30,29 +30,29 @@
 	digest  uint64
 }
 
-// tell adds to a round of gossip what this instance holds and knows of those that watch.
-func (f *Follower) tell(g *peerpb.Gossip) {
+// addToGossip adds the state of this instance and its latest confirmations to a message.
+func (f *Follower) addToGossip(g *peerpb.Gossip) {
 	g.StoreEra = f.catalog.Era()
 	id := f.configID()
 	g.ConfigVersion, g.ConfigEra, g.ConfigDigest = id.version, id.era, id.digest
 	if s := f.Servers(); s != nil {
 		g.ServersRevision, g.ServersEra, g.ServersDigest = s.At.Revision, s.At.Era, s.Digest
 	}
-	if f.replaced() {
-		// The confirmations are of something newer than what is held here; whoever holds
-		// the same would take them for its own.
+	if f.superseded() {
+		// The confirmations are for a newer configuration than the local one. A peer with
+		// the same old configuration would apply them to it.
 		return
 	}
 	now := f.now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, h := range f.news.Newest(now, mostTold) {
+	for _, h := range f.confirmations.Newest(now, maxConfirmations) {
 		g.Confirmed = append(g.Confirmed, &peerpb.Confirmation{By: h.By, AgeMs: uint32(max(0, now-h.At).Milliseconds())})
 	}
 }
 
-// hear takes over what a peer's gossip says of the store.
-func (f *Follower) hear(from string, g *peerpb.Gossip) {
+// receiveGossip processes what a peer's gossip reports about the store.
+func (f *Follower) receiveGossip(from string, g *peerpb.Gossip) {
 	o := offer{
 		peer: from, config: configID{g.ConfigVersion, g.ConfigEra, g.ConfigDigest},
 		servers: position.Position{Era: g.ServersEra, Revision: g.ServersRevision}, digest: g.ServersDigest,
@@ -63,47 +63,49 @@
 	newest := time.Duration(0)
 	confirmed := g.Confirmed
 	if g.StoreEra < f.era {
-		// The store may have lost what was confirmed then.
+		// The store may have lost what was confirmed in the earlier era.
 		confirmed = nil
 	}
 	for _, c := range confirmed {
 		at := now - time.Duration(c.AgeMs)*time.Millisecond
-		f.news.Note(watch.Heard{By: c.By, At: at})
+		f.confirmations.Note(watch.Heard{By: c.By, At: at})
 		newest = max(newest, at)
 	}
 	f.mu.Unlock()
-	if f.lacks(o) {
-		if f.configID().older(o.config) {
-			f.noteReplacing(o.config)
+	if f.offersNewer(o) {
+		if f.configID().supersededBy(o.config) {
+			f.recordNewerConfig(o.config)
 		}
-		f.newer.Offer(o)
+		f.offers.Offer(o)
 		return
 	}
 	f.confirm(newest)
 }
 
-// heardConfig is a configuration that another instance was heard to hold, and when.
-type heardConfig struct {
+// announcedConfig is a configuration that another instance announced, and when.
+type announcedConfig struct {
 	id configID
 	at time.Duration
 }
 
-// noteReplacing notes a configuration that another instance holds, unless a newer one is
-// known of.
-func (f *Follower) noteReplacing(id configID) {
-	next := &heardConfig{id, f.now()}
+// recordNewerConfig records a configuration that another instance announced, unless a
+// newer one was announced recently.
+func (f *Follower) recordNewerConfig(id configID) {
+	next := &announcedConfig{id, f.now()}
 	for {
-		known := f.replacing.Load()
-		if known != nil && id.older(known.id) && next.at-known.at <= f.holds.HoldsFor || f.replacing.CompareAndSwap(known, next) {
+		known := f.newerConfig.Load()
+		if known != nil && id.supersededBy(known.id) && next.at-known.at <= f.confirmPolicy.HoldsFor || f.newerConfig.CompareAndSwap(known, next) {
 			return
 		}
 	}
 }
 
-// lacks reports whether a peer holds something newer.
-func (f *Follower) lacks(o offer) bool { return f.configID().older(o.config) || f.lacksServers(o) }
+// offersNewer reports whether a peer has a newer configuration or list of servers.
+func (f *Follower) offersNewer(o offer) bool {
+	return f.configID().supersededBy(o.config) || f.offersNewerServers(o)
+}
 
-func (f *Follower) lacksServers(o offer) bool {
+func (f *Follower) offersNewerServers(o offer) bool {
 	s := f.Servers()
 	if o.servers.Revision <= 0 {
 		return false
@@ -111,65 +113,66 @@
 	return s == nil || s.At.Before(o.servers) && (o.digest != s.Digest || o.servers.Era != s.At.Era)
 }
 
-// confirm notes that what is held was the newest at a time.
+// confirm records that the local content was the newest at a time.
 func (f *Follower) confirm(at time.Duration) {
 	for {
-		old := f.confirmed.Load()
-		if int64(at) <= old || f.confirmed.CompareAndSwap(old, int64(at)) {
+		old := f.confirmedAt.Load()
+		if int64(at) <= old || f.confirmedAt.CompareAndSwap(old, int64(at)) {
 			return
 		}
 	}
 }
 
-// heardFromStore notes the answer to a watch, or to a read of the newest state.
-func (f *Follower) heardFromStore(what string, err error) {
+// recordAnswer records the result of a watch or of a read of the newest state. The local
+// content is confirmed as of the older answer of the two sources.
+func (f *Follower) recordAnswer(what string, err error) {
 	if err != nil {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.direct[what] = f.now()
-	at := min(f.direct[whatConfig], f.direct[whatServers])
+	f.answeredAt[what] = f.now()
+	at := min(f.answeredAt[sourceConfig], f.answeredAt[sourceServers])
 	if at > 0 {
-		f.news.Note(watch.Heard{By: f.name, At: at})
+		f.confirmations.Note(watch.Heard{By: f.name, At: at})
 		f.confirm(at)
 	}
 }
 
-// askPeers fetches what a peer holds and this instance was not told in time. One that
-// was frozen, cut off, or is new stays up to date that way.
-func (f *Follower) askPeers(ctx context.Context) {
+// syncWithPeers requests newer content that peers announced and that did not arrive in
+// time. This keeps instances up to date that were frozen, cut off or have just started.
+func (f *Follower) syncWithPeers(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case c := <-f.inbox.C():
 			f.adoptFromPeer(c)
-		case o := <-f.newer.C():
-			f.fetch(ctx, o)
+		case o := <-f.offers.C():
+			f.requestMissing(ctx, o)
 		}
 	}
 }
 
-// fetch asks a peer for what is still lacking after a while.
-func (f *Follower) fetch(ctx context.Context, o offer) {
-	if !f.lacks(o) {
+// requestMissing requests from a peer what is still missing after peerRequestDelay.
+func (f *Follower) requestMissing(ctx context.Context, o offer) {
+	if !f.offersNewer(o) {
 		return
 	}
 	if f.Ready() {
-		wait.For(ctx, askPeerAfter)
+		wait.For(ctx, peerRequestDelay)
 	}
 	f.drainInbox()
-	if held := f.configID(); held.older(o.config) {
+	if held := f.configID(); held.supersededBy(o.config) {
 		f.scope.Counter("config_asked_total").Inc(1)
 		f.link.Send(o.peer, &peerpb.Envelope{Body: &peerpb.Envelope_ConfigRequest{ConfigRequest: &peerpb.ConfigRequest{HaveVersion: held.version, HaveEra: held.era}}})
 	}
-	if f.lacksServers(o) {
-		f.askForServers(o.peer)
+	if f.offersNewerServers(o) {
+		f.requestServers(o.peer)
 	}
 }
 
-// drainInbox takes over what came while this instance waited.
+// drainInbox adopts configurations that arrived during the delay.
 func (f *Follower) drainInbox() {
 	for {
 		select {
@@ -184,34 +187,33 @@
 func (f *Follower) receive(from string, env *peerpb.Envelope) {
 	switch {
 	case env.GetGossip() != nil:
-		f.hear(from, env.GetGossip())
+		f.receiveGossip(from, env.GetGossip())
 	case env.GetConfigRequest() != nil:
 		r := env.GetConfigRequest()
 		if held := f.configID(); held.version > r.HaveVersion || held.version == r.HaveVersion && held.era > r.HaveEra {
-			f.passConfig([]string{from})
+			f.sendConfig([]string{from})
 		}
 	case env.GetConfigReply() != nil:
-		f.inbox.Offer(configFrom{from, env.GetConfigReply()})
+		f.inbox.Offer(peerConfig{from, env.GetConfigReply()})
 	case env.GetServersRequest() != nil:
-		f.tellServers(from, position.Position{Era: env.GetServersRequest().HaveEra, Revision: env.GetServersRequest().HaveRevision})
+		f.sendServersIfNewer(from, position.Position{Era: env.GetServersRequest().HaveEra, Revision: env.GetServersRequest().HaveRevision})
 	case env.GetServersReply() != nil:
 		f.adoptServers(from, env.GetServersReply())
 	}
 }
 
-// askServers asks one peer after the other for the list of servers while this instance
-// holds none. Without that an instance that starts during an outage of the store serves
-// nothing until it ends.
-func (f *Follower) askServers(ctx context.Context) {
-	wait.Every(ctx, askServersEvery, func() {
+// bootstrapServers requests the list of servers from random peers while this instance has
+// none. Otherwise one that starts during a store outage could not serve until its end.
+func (f *Follower) bootstrapServers(ctx context.Context) {
+	wait.Every(ctx, serversRequestInterval, func() {
 		peers := f.members.Peers()
 		if f.Servers() == nil && len(peers) > 0 {
-			f.askForServers(peers[rand.IntN(len(peers))])
+			f.requestServers(peers[rand.IntN(len(peers))])
 		}
 	})
 }
 
-func (f *Follower) askForServers(peer string) {
+func (f *Follower) requestServers(peer string) {
 	f.scope.Counter("servers_asked_total").Inc(1)
 	at := f.serversAt()
 	f.link.Send(peer, &peerpb.Envelope{Body: &peerpb.Envelope_ServersRequest{
@@ -219,10 +221,10 @@
 	}})
 }
 
-func (f *Follower) tellServers(to string, have position.Position) {
+func (f *Follower) sendServersIfNewer(to string, have position.Position) {
 	snap := f.Servers()
 	if snap == nil || !have.Before(snap.At) {
 		return
 	}
-	f.passServers([]string{to}, wholeList(snap, f.Age()))
+	f.sendServers([]string{to}, fullReply(snap, f.Age()))
 }
--- a/control/follow/servers.go
+++ b/control/follow/servers.go
@@ -15,14 +15,14 @@
 
 func (f *Follower) followServers(ctx context.Context) {
 	f.follow(ctx, source{
-		name: whatServers,
+		name: sourceServers,
 		held: func() (position.Position, bool) { return f.serversAt(), f.Servers() != nil },
 		read: func(ctx context.Context, staleOK bool) (position.Position, error) {
 			l, err := f.catalog.Servers(ctx, staleOK)
 			if err != nil {
 				return position.Position{}, err
 			}
-			f.takeServers(l)
+			f.applyServerList(l)
 			return l.At, nil
 		},
 		watch: func(ctx context.Context, after position.Position, wait time.Duration) (position.Position, error) {
@@ -30,98 +30,100 @@
 			if err != nil {
 				return position.Position{}, err
 			}
-			f.takeChanges(l)
+			f.applyServerChanges(l)
 			return l.At, nil
 		},
 	})
 }
 
-// takeServers takes over the whole list as the store tells it.
-func (f *Follower) takeServers(l catalog.Servers) {
+// applyServerList applies the full list of servers from the store.
+func (f *Follower) applyServerList(l catalog.Servers) {
 	before := f.Servers()
-	changed := f.update("store", func(now time.Duration) bool {
-		f.noteUnreadable(func(string) bool { return true }, l.Unreadable)
-		return f.set.Replace(now, l.Servers, l.At)
+	changed := f.updateServers("store", func(now time.Duration) bool {
+		f.updateUnreadable(func(string) bool { return true }, l.Unreadable)
+		return f.serverSet.Replace(now, l.Servers, l.At)
 	})
 	if before != nil && (changed || before.At.Era < l.At.Era) {
-		f.passServers(f.members.Standing().First(), wholeList(f.Servers(), f.Age()))
+		f.sendServers(f.members.Standing().First(), fullReply(f.Servers(), f.Age()))
 	}
 }
 
-// takeChanges takes over what the store tells of changes.
-func (f *Follower) takeChanges(l catalog.ServerChanges) {
+// applyServerChanges applies changes of the list from the store.
+func (f *Follower) applyServerChanges(l catalog.ServerChanges) {
 	if len(l.Changes) == 0 {
 		return
 	}
 	before := f.Servers()
-	changed := f.update("store", func(now time.Duration) bool {
-		f.noteUnreadable(changedIn(l.Changes), l.Unreadable)
-		return f.set.Apply(now, l.Changes, l.At)
+	changed := f.updateServers("store", func(now time.Duration) bool {
+		f.updateUnreadable(inChanges(l.Changes), l.Unreadable)
+		return f.serverSet.Apply(now, l.Changes, l.At)
 	})
 	if changed {
-		f.passServers(f.members.Standing().First(), changedList(before, l))
+		f.sendServers(f.members.Standing().First(), changesReply(before, l))
 	}
 }
 
-// changedIn reports whether an entry is among changes.
-func changedIn(changes []backends.Change) func(id string) bool {
+// inChanges returns a function that reports whether an entry is among changes.
+func inChanges(changes []backends.Change) func(id string) bool {
 	return func(id string) bool {
 		return slices.ContainsFunc(changes, func(c backends.Change) bool { return c.ID == id })
 	}
 }
 
-// update changes the list of servers, publishes it, and reports whether its content
-// changed. Several instances tell of one change, each up to a revision of its own.
-func (f *Follower) update(from string, change func(now time.Duration) bool) bool {
+// updateServers applies a change to the list of servers, publishes a snapshot and reports
+// whether the content changed. It need not have: several instances forward the same change,
+// each with its own revision.
+func (f *Follower) updateServers(from string, change func(now time.Duration) bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !change(f.now()) {
 		return false
 	}
-	snap, before := f.set.Snapshot(), f.servers.Load()
+	snap, before := f.serverSet.Snapshot(), f.servers.Load()
 	f.servers.Store(snap)
 	if before != nil && before.Digest == snap.Digest {
 		return false
 	}
 	f.log.Info("backend servers changed", zap.String("from", from), zap.Stringer("at", snap.At), zap.Int("servers", snap.Len()))
-	f.changed()
+	f.updateServing()
 	return true
 }
 
-// nothingHeld is before any position.
-var nothingHeld = position.Position{Revision: -1}
+// noPosition is before every position of a store.
+var noPosition = position.Position{Revision: -1}
 
-// serversAt is the position of the list held.
+// serversAt is the store position of the local list.
 func (f *Follower) serversAt() position.Position {
 	if s := f.Servers(); s != nil {
 		return s.At
 	}
-	return nothingHeld
+	return noPosition
 }
 
-// settle ends what held for a while after the store came back from a copy.
-func (f *Follower) settle() {
+// expireGracePeriods ends the grace periods of servers that began when the store was
+// restored from an older copy.
+func (f *Follower) expireGracePeriods() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.set.Settle(f.now()) {
+	if !f.serverSet.Settle(f.now()) {
 		return
 	}
-	snap := f.set.Snapshot()
+	snap := f.serverSet.Snapshot()
 	f.servers.Store(snap)
-	f.log.Info("backend servers settled after the store lost writes", zap.Stringer("at", snap.At), zap.Int("servers", snap.Len()))
+	f.log.Info("grace period of backend servers ended after the store lost writes", zap.Stringer("at", snap.At), zap.Int("servers", snap.Len()))
 }
 
-// passServers sends a list, or changes, to peers.
-func (f *Follower) passServers(to []string, r *peerpb.ServersReply) {
+// sendServers sends a list or changes to peers.
+func (f *Follower) sendServers(to []string, r *peerpb.ServersReply) {
 	for _, peer := range to {
 		f.link.Send(peer, &peerpb.Envelope{Body: &peerpb.Envelope_ServersReply{ServersReply: r}})
 	}
 }
 
-// adoptServers takes over a peer's list, or its changes, if they are newer than what is
-// held, and passes them on in turn. Changes that do not follow on what is held are not
-// taken over: the whole list is asked for. Changes that go back further than what is
-// held lead to the same list, since each tells the last state of a server.
+// adoptServers applies a peer's list or changes if they are newer than the local list, and
+// forwards them. If there is a gap between the local list and the changes, it requests the
+// full list instead. Changes that overlap with the local list are idempotent, since each
+// carries the last state of a server.
 func (f *Follower) adoptServers(from string, r *peerpb.ServersReply) {
 	held := f.Servers()
 	at := position.Position{Era: r.Era, Revision: r.Revision}
@@ -129,25 +131,25 @@
 		return
 	}
 	f.learnEra(r.Era)
-	if r.Changes && !follows(held, r) {
+	if r.Changes && !appliesTo(held, r) {
 		f.scope.Counter("servers_gaps_total").Inc(1)
-		f.askForServers(from)
+		f.requestServers(from)
 		return
 	}
-	taken := f.update(from, func(now time.Duration) bool {
+	changed := f.updateServers(from, func(now time.Duration) bool {
 		if r.Changes {
-			return f.set.Apply(now, changesOf(r), at)
+			return f.serverSet.Apply(now, changesFromReply(r), at)
 		}
-		return f.set.Replace(now, serversOf(r), at)
+		return f.serverSet.Replace(now, serversFromReply(r), at)
 	})
-	if held != nil && (taken || held.At.Era < at.Era) {
-		f.passServers(f.members.Standing().Next(), r)
+	if held != nil && (changed || held.At.Era < at.Era) {
+		f.sendServers(f.members.Standing().Next(), r)
 	}
 }
 
-// follows reports whether changes lead on from what is held. Those of a later era than
-// that of what is held do only if the content is the same.
-func follows(held *backends.Snapshot, r *peerpb.ServersReply) bool {
+// appliesTo reports whether changes can be applied to the local list without a gap: they
+// start from its content, or at or before its position, always in the same era.
+func appliesTo(held *backends.Snapshot, r *peerpb.ServersReply) bool {
 	if held == nil {
 		return false
 	}
@@ -158,15 +160,15 @@
 	return held.At.Era == r.Era && after.Era == r.Era && !held.At.Before(after)
 }
 
-func wholeList(snap *backends.Snapshot, age time.Duration) *peerpb.ServersReply {
+func fullReply(snap *backends.Snapshot, age time.Duration) *peerpb.ServersReply {
 	out := &peerpb.ServersReply{Revision: snap.At.Revision, Era: snap.At.Era, AgeUs: age.Microseconds()}
 	for _, s := range snap.All() {
-		out.Servers = append(out.Servers, listed(s))
+		out.Servers = append(out.Servers, toListedServer(s))
 	}
 	return out
 }
 
-func changedList(before *backends.Snapshot, l catalog.ServerChanges) *peerpb.ServersReply {
+func changesReply(before *backends.Snapshot, l catalog.ServerChanges) *peerpb.ServersReply {
 	out := &peerpb.ServersReply{
 		Revision: l.At.Revision, Era: l.At.Era, Changes: true, After: before.At.Revision, AfterEra: before.At.Era, AfterDigest: before.Digest,
 	}
@@ -174,24 +176,24 @@
 		if c.Server == nil {
 			out.Gone = append(out.Gone, c.ID)
 		} else {
-			out.Servers = append(out.Servers, listed(*c.Server))
+			out.Servers = append(out.Servers, toListedServer(*c.Server))
 		}
 	}
 	return out
 }
 
-func changesOf(r *peerpb.ServersReply) []backends.Change {
+func changesFromReply(r *peerpb.ServersReply) []backends.Change {
 	var out []backends.Change
 	for _, id := range r.Gone {
 		out = append(out, backends.Change{ID: id})
 	}
-	for _, s := range serversOf(r) {
+	for _, s := range serversFromReply(r) {
 		out = append(out, backends.Change{ID: s.ID, Server: &s})
 	}
 	return out
 }
 
-func serversOf(r *peerpb.ServersReply) []backends.Server {
+func serversFromReply(r *peerpb.ServersReply) []backends.Server {
 	var out []backends.Server
 	for _, s := range r.Servers {
 		out = append(out, backends.Server{
@@ -201,7 +203,7 @@
 	return out
 }
 
-func listed(s backends.Server) *peerpb.ListedServer {
+func toListedServer(s backends.Server) *peerpb.ListedServer {
 	return &peerpb.ListedServer{
 		Id: s.ID, Service: s.Service, Addr: s.Addr, DataCentre: s.DataCentre, Slots: int64(s.Slots), Leaving: s.Leaving, Life: int64(s.Life),
 	}
--- a/control/follow/unreadable.go
+++ b/control/follow/unreadable.go
@@ -8,38 +8,38 @@
 	"github.com/auburnmoor/auburnmoor/port/catalog"
 )
 
-// Bounds of what is remembered and logged of unreadable entries, whose bytes come from
-// other writers.
+// Limits on the number and the text of unreadable entries that are kept and logged, since
+// their bytes come from other writers.
 const (
-	mostUnreadable = 100
-	mostText       = 200
+	maxUnreadable = 100
+	maxTextBytes  = 200
 )
 
-// unreadable are the entries that cannot be read, with the reason, so that each is
-// logged once and not with every read of the list.
+// unreadable maps entries that cannot be read to the reason, so that each is logged once
+// and not with every read of the list.
 type unreadable map[string]string
 
-// noteUnreadable logs entries whose reason is new and forgets those that were read since; f.mu
-// is held.
-func (f *Follower) noteUnreadable(read func(name string) bool, bad []catalog.Unreadable) {
-	still := unreadable{}
+// updateUnreadable logs entries whose reason is new and drops those that the store has
+// returned again since, for which covered is true. The caller holds f.mu.
+func (f *Follower) updateUnreadable(covered func(name string) bool, bad []catalog.Unreadable) {
+	current := unreadable{}
 	for _, u := range bad {
 		f.scope.Tagged(map[string]string{"kind": "server"}).Counter("entries_unreadable_total").Inc(1)
-		name, why := cut(u.Name), cut(u.Why.Error())
-		if len(still) >= mostUnreadable {
+		name, reason := truncate(u.Name), truncate(u.Why.Error())
+		if len(current) >= maxUnreadable {
 			continue
 		}
-		still[name] = why
-		if f.bad[name] != why {
-			f.log.Warn("entry of a backend server cannot be read, it gets no new work", zap.String("server", name), zap.String("error", why))
+		current[name] = reason
+		if f.unreadableServers[name] != reason {
+			f.log.Warn("entry of a backend server cannot be read, the server gets no new work", zap.String("server", name), zap.String("error", reason))
 		}
 	}
-	maps.DeleteFunc(f.bad, func(name, _ string) bool { return read(name) })
-	for name, why := range still {
-		if len(f.bad) < mostUnreadable {
-			f.bad[name] = why
+	maps.DeleteFunc(f.unreadableServers, func(name, _ string) bool { return covered(name) })
+	for name, reason := range current {
+		if len(f.unreadableServers) < maxUnreadable {
+			f.unreadableServers[name] = reason
 		}
 	}
 }
 
-func cut(s string) string { return s[:min(len(s), mostText)] }
+func truncate(s string) string { return s[:min(len(s), maxTextBytes)] }
--- a/control/follow/unreadable_test.go
+++ b/control/follow/unreadable_test.go
@@ -14,9 +14,10 @@
 )
 
 var _ = Describe("the list of unreadable entries", func() {
-	// On-call looks for a server that gets no requests: another writer spoilt its entry.
-	It("shows entries that cannot be read until they are read again or gone", func() {
-		f := &Follower{log: zap.NewNop(), scope: tally.NoopScope, bad: unreadable{}}
+	// Operators look here for a server that gets no requests because another writer corrupted
+	// its entry.
+	It("shows unreadable entries until they can be read or are gone", func() {
+		f := &Follower{log: zap.NewNop(), scope: tally.NoopScope, unreadableServers: unreadable{}}
 		all := func(string) bool { return true }
 		bad := func(names ...string) (out []catalog.Unreadable) {
 			for _, n := range names {
@@ -24,18 +25,18 @@
 			}
 			return out
 		}
-		f.noteUnreadable(all, bad("a", "b"))
-		Expect(f.bad).To(HaveLen(2))
-		Expect(len(f.bad["a"])).To(BeNumerically("<=", mostText))
-		f.noteUnreadable(changedIn([]backends.Change{{ID: "a"}}), nil)
-		Expect(f.bad).To(HaveLen(1))
-		f.noteUnreadable(changedIn([]backends.Change{{ID: "c"}}), bad("c"))
-		Expect(f.bad).To(HaveLen(2))
-		f.noteUnreadable(all, bad("b"))
-		Expect(f.bad).To(HaveLen(1))
+		f.updateUnreadable(all, bad("a", "b"))
+		Expect(f.unreadableServers).To(HaveLen(2))
+		Expect(len(f.unreadableServers["a"])).To(BeNumerically("<=", maxTextBytes))
+		f.updateUnreadable(inChanges([]backends.Change{{ID: "a"}}), nil)
+		Expect(f.unreadableServers).To(HaveLen(1))
+		f.updateUnreadable(inChanges([]backends.Change{{ID: "c"}}), bad("c"))
+		Expect(f.unreadableServers).To(HaveLen(2))
+		f.updateUnreadable(all, bad("b"))
+		Expect(f.unreadableServers).To(HaveLen(1))
 		for i := range 300 {
-			f.noteUnreadable(changedIn(nil), bad(strings.Repeat("n", i+1)))
+			f.updateUnreadable(inChanges(nil), bad(strings.Repeat("n", i+1)))
 		}
-		Expect(len(f.bad)).To(BeNumerically("<=", mostUnreadable))
+		Expect(len(f.unreadableServers)).To(BeNumerically("<=", maxUnreadable))
 	})
 })
--- a/control/follow/watch.go
+++ b/control/follow/watch.go
@@ -13,114 +13,114 @@
 	"github.com/auburnmoor/auburnmoor/port/catalog"
 )
 
-// Times of the calls to the store.
+// Timing of the calls to the store.
 const (
-	// readTimeout bounds a read of the whole.
+	// readTimeout bounds a read of the full state.
 	readTimeout = 1500 * time.Millisecond
-	// dutyEvery is how often an instance looks whether it is to watch.
-	dutyEvery = 100 * time.Millisecond
-	// Changes that follow a change are gathered into one call for gatherFor, and longer
-	// up to gatherMost as long as they go on. When servers start or are replaced one
-	// after the other each changes its entry several times; a server that leaves may be
-	// sent requests for two seconds.
-	gatherFor, gatherMost = 100 * time.Millisecond, 500 * time.Millisecond
+	// dutyCheckInterval is how often an instance checks whether it should watch.
+	dutyCheckInterval = 100 * time.Millisecond
+	// After a change the next call is delayed to batch further changes, by minBatchDelay
+	// and up to maxBatchDelay while they continue: in a rolling restart each server changes
+	// its entry several times. A server that leaves may be sent requests for two seconds.
+	minBatchDelay, maxBatchDelay = 100 * time.Millisecond, 500 * time.Millisecond
 )
 
-// The two things that are followed, as logs and metrics name them.
+// Names of the two sources in logs and metrics.
 const (
-	whatServers = "servers"
-	whatConfig  = "configuration"
+	sourceServers = "servers"
+	sourceConfig  = "configuration"
 )
 
-// source is one of the two, as its loop sees it.
+// source is the configuration or the list of servers, as seen by the loop that follows it.
 type source struct {
 	name string
-	// held returns the position up to which the content held is the newest, and whether
-	// any is held.
+	// held returns the position up to which the local content is the newest, and whether
+	// there is any.
 	held func() (position.Position, bool)
-	// read takes over the whole and returns its position; what it was some seconds ago
-	// will do if staleOK.
+	// read fetches and applies the full state and returns its position. With staleOK the
+	// store may return a state that is seconds old.
 	read func(ctx context.Context, staleOK bool) (position.Position, error)
-	// watch takes over what changed after a position, or will have changed after a wait.
+	// watch applies the changes after a position and waits for them if there are none.
 	watch func(ctx context.Context, after position.Position, wait time.Duration) (position.Position, error)
 }
 
-// watcher is the state of one source's loop.
+// watcher is the state of the loop that follows one source.
 type watcher struct {
 	source
 	rand *rand.Rand
 	// at is the last position at which the store answered this instance.
 	at position.Position
-	// gap tells that the history after it is gone and the whole must be read.
+	// gap is set if the history after at is gone and the full state must be read.
 	gap, watching bool
-	// answered tells that a watch was answered: what is held is no older than that.
+	// answered is set once a watch was answered, so that the local content is no older.
 	answered bool
 	outage   outage
-	// gather is how long the next changes are gathered, zero after a watch without any.
-	gather time.Duration
+	// batchDelay is the last delay for further changes, zero after a watch without any.
+	batchDelay time.Duration
 }
 
-// follow reads the whole once, then watches from there as long as that is this
-// instance's duty. After a gap in the history it reads the whole again. A watch that
-// failed or went silent is asked again from the same revision, over another connection.
-// The first watch, and those after a failed one, do not wait for changes: what is held may
-// be old, and the store's word is wanted at once.
+// follow reads the full state once, then watches for changes from there while this
+// instance has the duty to watch. After a gap in the history it reads the full state
+// again. A watch that failed or timed out is repeated from the same position, over another
+// connection. The first watch, and those after a failed one, do not wait for changes, so
+// that the store confirms the local content at once.
 func (f *Follower) follow(ctx context.Context, s source) {
 	w := &watcher{source: s, rand: rand.New(rand.NewPCG(rand.Uint64(), 1))}
 	for ctx.Err() == nil {
-		due := f.due()
-		f.noteDuty(w, due)
+		onDuty := f.hasWatchDuty()
+		f.updateDuty(w, onDuty)
 		began := w.at
-		called, err := f.turn(ctx, w, due)
+		called, err := f.step(ctx, w, onDuty)
 		switch {
 		case err == nil && !called:
 		case err == nil:
-			f.regained(w)
-			if due {
-				w.pace(ctx, began.Before(w.at))
+			f.recordRecovery(w)
+			if onDuty {
+				w.delayBatch(ctx, began.Before(w.at))
 			}
 		case ctx.Err() != nil:
 			return
-		case errors.Is(err, errRegained):
+		case errors.Is(err, errRecovered):
 		case errors.Is(err, catalog.ErrHistoryGone):
-			f.log.Info("history of changes is gone, reading the whole again", zap.String("what", s.name), zap.Stringer("at", w.at))
+			f.log.Info("history of changes is gone, reading the full state again", zap.String("what", s.name), zap.Stringer("at", w.at))
 			w.gap = true
 		default:
-			f.lost(w, err)
-			f.pause(ctx, w)
+			f.recordFailure(w, err)
+			f.backOff(ctx, w)
 		}
 	}
 }
 
-// pace waits after changes, so that more of them come with the next call.
-func (w *watcher) pace(ctx context.Context, changed bool) {
+// delayBatch waits after changes, so that the next call returns more of them.
+func (w *watcher) delayBatch(ctx context.Context, changed bool) {
 	if !changed {
-		w.gather = 0
+		w.batchDelay = 0
 		return
 	}
-	w.gather = min(max(gatherFor, 2*w.gather), gatherMost)
-	wait.For(ctx, w.gather)
+	w.batchDelay = min(max(minBatchDelay, 2*w.batchDelay), maxBatchDelay)
+	wait.For(ctx, w.batchDelay)
 }
 
-// turn makes the call that is due, or pauses if none is, and reports whether it made one.
-func (f *Follower) turn(ctx context.Context, w *watcher, due bool) (called bool, err error) {
+// step makes the next call to the store, or waits if none is due, and reports whether it
+// made one.
+func (f *Follower) step(ctx context.Context, w *watcher, onDuty bool) (called bool, err error) {
 	held, known := w.held()
 	w.at = position.Later(w.at, held)
 	switch {
 	case !known:
 		w.at, err = f.call(ctx, w, readTimeout, func(ctx context.Context) (position.Position, error) { return w.read(ctx, true) })
-	case !due:
-		wait.For(ctx, dutyEvery)
+	case !onDuty:
+		wait.For(ctx, dutyCheckInterval)
 		return false, nil
-	case w.name == whatConfig && f.storeFailing.Load():
-		// While the store fails one of the two loops asks whether it is back.
+	case w.name == sourceConfig && f.storeFailing.Load():
+		// While the store fails only the loop of the servers probes it.
 		w.outage.begin(f.now())
-		w.outage.idle += f.untilRegained(ctx, dutyEvery)
+		w.outage.idle += f.awaitRecovery(ctx, dutyCheckInterval)
 		return false, nil
 	case w.gap:
 		w.at, err = f.call(ctx, w, readTimeout, func(ctx context.Context) (position.Position, error) { return w.read(ctx, false) })
 		w.gap = err != nil
-		f.heardFromStore(w.name, err)
+		f.recordAnswer(w.name, err)
 	default:
 		wait, slack := f.Wait.Std(), watchSlack
 		if w.outage.failures > 0 || !w.answered {
@@ -128,34 +128,35 @@
 		}
 		w.at, err = f.call(ctx, w, wait+slack, func(ctx context.Context) (position.Position, error) { return w.watch(ctx, w.at, wait) })
 		w.answered = w.answered || err == nil
-		f.heardFromStore(w.name, err)
+		f.recordAnswer(w.name, err)
 	}
 	return true, err
 }
 
-// call makes one call and returns the position of its answer, or the last one known.
+// call makes one call to the store and returns the position of its answer, or the last
+// known one if it failed.
 func (f *Follower) call(ctx context.Context, w *watcher, timeout time.Duration, fn func(context.Context) (position.Position, error)) (position.Position, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	back := f.recovery.next()
-	defer context.AfterFunc(back, cancel)()
+	recovered := f.recovery.next()
+	defer context.AfterFunc(recovered, cancel)()
 	began := f.now()
 	at, err := fn(ctx)
-	w.outage.call = f.now() - began
-	f.noteEra()
+	w.outage.lastCall = f.now() - began
+	f.handleNewEra()
 	switch {
 	case err == nil:
 		return at, nil
-	case back.Err() != nil:
-		return w.at, errRegained
+	case recovered.Err() != nil:
+		return w.at, errRecovered
 	default:
 		return w.at, err
 	}
 }
 
-// due reports whether this instance watches the store now. One that starts lives on what
-// it read first until it knows who else lives.
-func (f *Follower) due() bool {
+// hasWatchDuty reports whether this instance should watch the store now. One that has just
+// started does not, until it knows which other instances are alive.
+func (f *Follower) hasWatchDuty() bool {
 	if !f.members.Settled() {
 		return false
 	}
@@ -163,20 +164,20 @@
 	st := f.members.Standing()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.policy.Due(st, f.news.Age(now, st.Before))
+	return f.watchPolicy.Due(st, f.confirmations.Age(now, st.Before))
 }
 
-// noteDuty logs when this instance begins or ceases to watch, and why.
-func (f *Follower) noteDuty(w *watcher, due bool) {
-	if w.watching == due {
+// updateDuty logs when this instance starts or stops watching, and why.
+func (f *Follower) updateDuty(w *watcher, onDuty bool) {
+	if w.watching == onDuty {
 		return
 	}
-	w.watching = due
+	w.watching = onDuty
 	st := f.members.Standing()
-	f.scope.Tagged(map[string]string{"what": w.name}).Gauge("store_watching").Update(map[bool]float64{true: 1}[due])
-	if due && !st.Primary() {
+	f.scope.Tagged(map[string]string{"what": w.name}).Gauge("store_watching").Update(map[bool]float64{true: 1}[onDuty])
+	if onDuty && !st.Primary() {
 		f.scope.Tagged(map[string]string{"what": w.name}).Counter("store_takeovers_total").Inc(1)
 	}
-	f.log.Info("duty to watch the store changed", zap.String("what", w.name), zap.Bool("watching", due), zap.Int("rank", st.Rank), zap.Int("watchers", st.Watchers),
+	f.log.Info("duty to watch the store changed", zap.String("what", w.name), zap.Bool("watching", onDuty), zap.Int("rank", st.Rank), zap.Int("watchers", st.Watchers),
 		zap.Int("instances", len(st.Order)), zap.Duration("age", f.Age()))
 }
