--- a/control/config/config.go
+++ b/control/config/config.go
@@ -1,6 +1,5 @@
-// Package config keeps the configuration in force on this instance. It comes
-// from the store or from peers, whichever is newer, and is never replaced by
-// an older version.
+// Package config keeps the configuration in force on this instance. It adopts the newest
+// version that the store or a peer provides and never goes back to an older one.
 package config
 
 import (
@@ -35,31 +34,31 @@
 
 // Config is the module "control.config".
 type Config struct {
-	// Watchers is the number of instances that hold a watch on the store; the
-	// others hear of a change from peers.
+	// Watchers is the number of instances that watch the store. The others learn of
+	// changes from peers.
 	Watchers int `toml:"watchers" validate:"min=0,max=9"`
 	// WatchWait is how long one watch waits.
 	WatchWait settings.Duration `toml:"watch_wait"`
-	// PollStore is the period at which an instance without a watch reads the
-	// pointer, in case gossip fails.
+	// PollStore is the mean interval at which an instance without a watch reads the pointer
+	// to the current version, in case gossip fails.
 	PollStore settings.Duration `toml:"poll_store"`
 
-	self  string
-	log   *zap.Logger
-	store objectapi.Store
-	link  *peerlink.Link
-	mem   *members.Members
-	news  chan string
+	self       string
+	log        *zap.Logger
+	store      objectapi.Store
+	link       *peerlink.Link
+	members    *members.Members
+	newerPeers chan string
 
-	mu       sync.Mutex
-	holder   confver.Holder
-	object   uint64
-	onChange []func(*manifest.Index)
-	index    atomic.Pointer[manifest.Index]
-	version  atomic.Uint64
-	fromPeer atomic.Uint64
-	fromAPI  atomic.Uint64
-	failures atomic.Uint64
+	mu             sync.Mutex
+	holder         confver.Holder
+	pointerVersion uint64
+	onChange       []func(*manifest.Index)
+	index          atomic.Pointer[manifest.Index]
+	version        atomic.Uint64
+	fromPeers      atomic.Uint64
+	fromStore      atomic.Uint64
+	failures       atomic.Uint64
 }
 
 // ModuleInfo implements auburnmoor.Module.
@@ -70,18 +69,18 @@
 	}
 }
 
-// Defaults of the settings.
+// Defaults of the settings, and timing of the calls to the store.
 const (
 	defaultWatchers = 2
-	// defaultWatchWait bounds with storeTimeout how long a watch that hears of no change,
-	// since the store fell silent meanwhile, is believed.
+	// defaultWatchWait plus storeTimeout bounds how long a watch is trusted that reports no
+	// change because the store has become silent.
 	defaultWatchWait = 2 * time.Second
 	defaultPollStore = 60 * time.Second
 	storeTimeout     = time.Second
-	// contentTimeout bounds the calls for the parts of one content.
+	// contentTimeout bounds the calls that read the parts of one version.
 	contentTimeout = 5 * time.Second
-	// Pauses after failed calls.
-	firstPause, longestPause = 100 * time.Millisecond, time.Second
+	// Backoff after failed calls.
+	initialBackoff, maxBackoff = 100 * time.Millisecond, time.Second
 )
 
 // Provision implements auburnmoor.Provisioner.
@@ -93,18 +92,18 @@
 	if c.link, err = auburnmoor.Require[*peerlink.Link](ctx, peerlink.ID); err != nil {
 		return err
 	}
-	if c.mem, err = auburnmoor.Require[*members.Members](ctx, members.ID); err != nil {
+	if c.members, err = auburnmoor.Require[*members.Members](ctx, members.ID); err != nil {
 		return err
 	}
-	c.defaults()
+	c.setDefaults()
 	c.self, c.log, c.store = ctx.Self.Name, ctx.Log, p.Store()
-	c.news = make(chan string, 1)
-	c.mem.Carry(func(g *peerpb.Gossip) { g.ConfigVersion = c.version.Load() })
+	c.newerPeers = make(chan string, 1)
+	c.members.Carry(func(g *peerpb.Gossip) { g.ConfigVersion = c.version.Load() })
 	c.link.Handle(c.receive)
 	return nil
 }
 
-func (c *Config) defaults() {
+func (c *Config) setDefaults() {
 	if c.Watchers == 0 {
 		c.Watchers = defaultWatchers
 	}
@@ -116,11 +115,11 @@
 	}
 }
 
-// OnChange calls f with every adopted configuration. It must be called before
-// Start.
+// OnChange registers f to be called with every adopted configuration. It must be called
+// before Start.
 func (c *Config) OnChange(f func(*manifest.Index)) { c.onChange = append(c.onChange, f) }
 
-// Index returns the configuration in force, or nil before the first.
+// Index returns the configuration in force, or nil if there is none yet.
 func (c *Config) Index() *manifest.Index { return c.index.Load() }
 
 // Version returns the version in force; zero means none.
@@ -128,29 +127,29 @@
 
 // Start implements auburnmoor.Starter.
 func (c *Config) Start(ctx context.Context) error {
-	go c.follow(ctx)
-	go c.askPeers(ctx)
+	go c.followStore(ctx)
+	go c.requestFromPeers(ctx)
 	return nil
 }
 
-// heard notes a peer that has a newer version.
-func (c *Config) heard(from string, version uint64) {
+// notePeerVersion queues a request to a peer that has a newer version.
+func (c *Config) notePeerVersion(from string, version uint64) {
 	if version <= c.version.Load() {
 		return
 	}
 	select {
-	case c.news <- from:
+	case c.newerPeers <- from:
 	default:
 	}
 }
 
-// askPeers requests content from peers that have a newer version.
-func (c *Config) askPeers(ctx context.Context) {
+// requestFromPeers requests content from peers that have a newer version.
+func (c *Config) requestFromPeers(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case from := <-c.news:
+		case from := <-c.newerPeers:
 			c.link.Send(from, &peerpb.Envelope{Body: &peerpb.Envelope_ConfigRequest{
 				ConfigRequest: &peerpb.ConfigRequest{HaveVersion: c.version.Load()},
 			}})
@@ -163,10 +162,10 @@
 	case *peerpb.Envelope_ConfigRequest:
 		c.reply(from, b.ConfigRequest)
 	case *peerpb.Envelope_Gossip:
-		c.heard(from, b.Gossip.ConfigVersion)
+		c.notePeerVersion(from, b.Gossip.ConfigVersion)
 	case *peerpb.Envelope_ConfigReply:
 		if c.adopt(b.ConfigReply.Version, b.ConfigReply.Content) {
-			c.fromPeer.Add(1)
+			c.fromPeers.Add(1)
 		}
 	}
 }
@@ -183,12 +182,13 @@
 	}})
 }
 
-// adopt puts a newer version into force and tells the peers at once.
+// adopt puts a newer version into force, announces it to the peers at once and reports
+// whether it was newer.
 func (c *Config) adopt(version uint64, content []byte) bool {
 	m, err := manifest.Parse(content)
 	if err != nil {
 		c.failures.Add(1)
-		c.log.Error("configuration does not parse", zap.Uint64("version", version), zap.Error(err))
+		c.log.Error("configuration cannot be parsed", zap.Uint64("version", version), zap.Error(err))
 		return false
 	}
 	c.mu.Lock()
@@ -196,21 +196,21 @@
 	if !c.holder.Adopt(version, content) {
 		return false
 	}
-	ix := manifest.NewIndex(m)
-	c.index.Store(ix)
+	index := manifest.NewIndex(m)
+	c.index.Store(index)
 	c.version.Store(version)
 	for _, f := range c.onChange {
-		f(ix)
+		f(index)
 	}
 	c.log.Info("configuration in force", zap.Uint64("version", version), zap.String("site", m.Site))
-	c.mem.SpreadNow()
+	c.members.SpreadNow()
 	return true
 }
 
-// follow reads the store: by a watch if this instance is one of the watchers,
-// else rarely. A store that failed is asked without waiting for a change, so that its
-// return is noticed at once.
-func (c *Config) follow(ctx context.Context) {
+// followStore keeps up with the store: by watches if this instance is one of the watchers,
+// else by polling. After a failure it does not wait for a change, so that it detects the
+// recovery of the store at once.
+func (c *Config) followStore(ctx context.Context) {
 	r := rand.New(rand.NewPCG(rand.Uint64(), 4))
 	failures := 0
 	for ctx.Err() == nil {
@@ -224,12 +224,12 @@
 			c.log.Warn("configuration cannot be read from the store", eventlog.Error(err))
 		}
 		failures++
-		wait.For(ctx, retry.Backoff(r, firstPause, longestPause, failures))
+		wait.For(ctx, retry.Backoff(r, initialBackoff, maxBackoff, failures))
 	}
 }
 
 func (c *Config) readStore(ctx context.Context, failed bool) error {
-	watcher := c.watcher()
+	watcher := c.isWatcher()
 	if !watcher && c.version.Load() > 0 {
 		wait.For(ctx, c.PollStore.Std()/2+rand.N(c.PollStore.Std()))
 	}
@@ -237,39 +237,39 @@
 	if watcher && c.version.Load() > 0 && !failed {
 		wait = c.WatchWait.Std()
 	}
-	cctx, cancel := context.WithTimeout(ctx, wait+storeTimeout)
+	watchCtx, cancel := context.WithTimeout(ctx, wait+storeTimeout)
 	defer cancel()
-	obj, err := c.store.Watch(cctx, confver.PointerKey, c.object, wait)
+	obj, err := c.store.Watch(watchCtx, confver.PointerKey, c.pointerVersion, wait)
 	if err != nil {
 		return err
 	}
-	c.object = obj.Version
+	c.pointerVersion = obj.Version
 	p, err := confver.Decode(obj.Value)
 	if err != nil || p.Version <= c.version.Load() {
 		return err
 	}
-	parts, cancel := context.WithTimeout(ctx, contentTimeout)
+	contentCtx, cancel := context.WithTimeout(ctx, contentTimeout)
 	defer cancel()
-	content, err := confver.ReadContent(parts, c.store, p)
+	content, err := confver.ReadContent(contentCtx, c.store, p)
 	if err != nil {
 		return err
 	}
 	if c.adopt(p.Version, content) {
-		c.fromAPI.Add(1)
+		c.fromStore.Add(1)
 	}
 	return nil
 }
 
-func (c *Config) watcher() bool {
-	names := member.Owners(c.mem.View().Alive)
+func (c *Config) isWatcher() bool {
+	names := member.Owners(c.members.View().Alive)
 	return len(names) == 0 || place.InTop(c.self, confver.WatchDuty, names, c.Watchers)
 }
 
 // Dump implements auburnmoor.Dumper.
 func (c *Config) Dump() any {
 	return Dump{
-		Version: c.version.Load(), Watcher: c.watcher(), FromStore: c.fromAPI.Load(),
-		FromPeers: c.fromPeer.Load(), Failures: c.failures.Load(),
+		Version: c.version.Load(), Watcher: c.isWatcher(), FromStore: c.fromStore.Load(),
+		FromPeers: c.fromPeers.Load(), Failures: c.failures.Load(),
 	}
 }
 
--- a/control/config/config_test.go
+++ b/control/config/config_test.go
@@ -22,7 +22,7 @@
 
 func TestConfig(t *testing.T) { testkit.Suite(t, "config") }
 
-// accept has the platform accept a manifest in place of version base.
+// accept has the platform accept a manifest that replaces version base.
 func accept(srv *platformserver.Server, base uint64) {
 	content := fmt.Appendf(nil, "%s# %d\n", examples.TePuna, base)
 	version, err := confver.Accept(context.Background(), objectapi.NewClient(srv.Addr()), content, base, fmt.Sprint("w", base))
@@ -30,7 +30,7 @@
 	Expect(version).To(Equal(base + 1))
 }
 
-func start(srv *platformserver.Server, own string) *config.Config {
+func start(srv *platformserver.Server, moduleSettings string) *config.Config {
 	f, err := settings.Parse("f", fmt.Appendf(nil, `
 [instance]
 name = "e"
@@ -45,7 +45,7 @@
 instance_list = %q
 [control.config]
 %s
-`, srv.Addr(), srv.Addr(), own))
+`, srv.Addr(), srv.Addr(), moduleSettings))
 	Expect(err).NotTo(HaveOccurred())
 	p, err := process.New(f, zap.NewNop())
 	Expect(err).NotTo(HaveOccurred())
@@ -57,9 +57,10 @@
 	return p.Module(config.ID).(*config.Config)
 }
 
-var _ = Describe("a manifest that was accepted just after an outage", func() {
-	// inForce is the time within which operators expect an accepted manifest to be in force.
-	const inForce = 5 * time.Second
+var _ = Describe("a manifest accepted just after an outage", func() {
+	// adoptionTime is the time within which operators expect an accepted manifest to be in
+	// force.
+	const adoptionTime = 5 * time.Second
 	var srv *platformserver.Server
 	BeforeEach(func() {
 		srv = platformserver.New("127.0.0.1:0", 0)
@@ -68,17 +69,17 @@
 		accept(srv, 0)
 	})
 
-	// Guards against a watch or a pause from the time of an outage that lasts far beyond it.
-	DescribeTable("is in force within seconds", func(f platformserver.Faults, outage time.Duration, own string) {
-		c := start(srv, own)
+	// Guards against a watch or a backoff that began in an outage and lasts far beyond it.
+	DescribeTable("is in force within seconds", func(f platformserver.Faults, outage time.Duration, moduleSettings string) {
+		c := start(srv, moduleSettings)
 		Eventually(c.Version, "5s", "5ms").Should(Equal(uint64(1)))
 		srv.Inject(f)
 		time.Sleep(outage)
 		srv.Inject(platformserver.Faults{})
 		accept(srv, 1)
-		Eventually(c.Version, inForce, "5ms").Should(Equal(uint64(2)))
+		Eventually(c.Version, adoptionTime, "5ms").Should(Equal(uint64(2)))
 	},
-		Entry("of silence", platformserver.Faults{Silent: true}, 500*time.Millisecond, ""),
-		Entry("of refusals", platformserver.Faults{Down: true}, 12*time.Second, `watch_wait = "200ms"`),
+		Entry("after silence", platformserver.Faults{Silent: true}, 500*time.Millisecond, ""),
+		Entry("after refusals", platformserver.Faults{Down: true}, 12*time.Second, `watch_wait = "200ms"`),
 	)
 })
--- a/control/platformapi/platformapi.go
+++ b/control/platformapi/platformapi.go
@@ -1,4 +1,4 @@
-// Package platformapi gives modules the clients of the platform's services.
+// Package platformapi provides the clients of the platform's services to other modules.
 package platformapi
 
 import (
@@ -20,11 +20,11 @@
 
 // Platform is the module "platform.api".
 type Platform struct {
-	// ObjectAPI and InstanceList are host:port of the platform's services.
+	// ObjectAPI and InstanceList are the addresses (host:port) of the platform's services.
 	ObjectAPI    string `toml:"object_api" validate:"required,hostname_port"`
 	InstanceList string `toml:"instance_list" validate:"required,hostname_port"`
-	// WeightStore is host:port of the weight store; that of the object API by
-	// default.
+	// WeightStore is the address (host:port) of the weight store, by default that of the
+	// object API.
 	WeightStore string `toml:"weight_store" validate:"omitempty,hostname_port"`
 
 	weights *weights.Client
@@ -82,14 +82,14 @@
 func (p *Platform) Dump() any {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := make(map[string]uint64, len(p.calls))
+	calls := make(map[string]uint64, len(p.calls))
 	for k, v := range p.calls {
-		out[k] = v
+		calls[k] = v
 	}
-	return Calls{Calls: out}
+	return Calls{Calls: calls}
 }
 
-// Calls counts the calls to the object API by method.
+// Calls holds the number of calls to the object API by method.
 type Calls struct {
 	Calls map[string]uint64 `json:"object_api_calls"`
 }
