--- a/control/follow/follow.go
+++ b/control/follow/follow.go
@@ -162,7 +162,7 @@
 	go f.followServers(ctx)
 	go f.syncWithPeers(ctx)
 	go f.bootstrapServers(ctx)
-	go wait.Every(ctx, graceCheckInterval, f.expireGracePeriods)
+	go wait.Every(ctx, graceCheckInterval, f.endGracePeriods)
 	return nil
 }
 
@@ -214,7 +214,7 @@
 	for _, h := range f.confirmations.Newest(now, maxConfirmations) {
 		d.Heard = append(d.Heard, DumpHeard{By: h.By, AgeMS: (now - h.At).Milliseconds()})
 	}
-	d.Kept, d.Doubted = f.serverSet.Kept(), f.serverSet.Doubted()
+	d.Kept, d.Doubted = f.serverSet.Retained(), f.serverSet.PresumedStale()
 	d.ConfigAt, d.ConfigBehind, d.Unreadable = f.configAt.String(), f.olderStoreVersion, maps.Clone(f.unreadableServers)
 	return d
 }
--- a/control/follow/servers.go
+++ b/control/follow/servers.go
@@ -100,12 +100,12 @@
 	return noPosition
 }
 
-// expireGracePeriods ends the grace periods of servers that began when the store was
+// endGracePeriods ends the grace periods of servers that began when the store was
 // restored from an older copy.
-func (f *Follower) expireGracePeriods() {
+func (f *Follower) endGracePeriods() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.serverSet.Settle(f.now()) {
+	if !f.serverSet.EndGracePeriods(f.now()) {
 		return
 	}
 	snap := f.serverSet.Snapshot()
--- a/serve/relay/health.go
+++ b/serve/relay/health.go
@@ -21,7 +21,7 @@
 
 // beginTracking starts an attempt in the tracker for all servers of a plan.
 func (x *exchange) beginTracking(plan spread.Plan) {
-	x.recorded, x.pace = nil, health.Run{}
+	x.recorded, x.gapWindow = nil, health.GapWindow{}
 	x.withTracker(func(t *health.Tracker) {
 		for _, id := range serverIDs(plan) {
 			t.Begin(x.relay.now(), id)
@@ -36,7 +36,7 @@
 
 // recordFault counts a failure that a server itself reported.
 func (x *exchange) recordFault(id string) {
-	x.recordOnce([]string{id}, (*health.Tracker).Fault)
+	x.recordOnce([]string{id}, (*health.Tracker).ReportedFailure)
 }
 
 // recordOnce calls record for each server that has none in the current attempt.
@@ -75,14 +75,14 @@
 		return
 	}
 	r, id := x.relay, plan.Writer().ID
-	expected := spread.Pass(x.service.Engine, r.loads.Of(id))
+	expected := spread.PassTime(x.service.Engine, r.loads.Of(id))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.pool(x.service.Name)
-	if p.meter.Mean() > overloadBacklog || !p.pace.Observe(&x.pace, x.newestGap, expected) {
+	if p.meter.Mean() > overloadBacklog || !p.slowDetector.Observe(&x.gapWindow, x.newestGap, expected) {
 		return
 	}
-	p.tracker.Slow(r.now(), id)
+	p.tracker.EjectSlow(r.now(), id)
 	r.count("servers_slow_total", "service", x.service.Name)
 	r.log.Warn("backend server is slow", zap.String("request", x.req.ID), zap.String("server", id),
 		zap.Duration("pause", x.newestGap), zap.Duration("expected", expected))
