--- a/control/follow/era.go
+++ b/control/follow/era.go
@@ -34,6 +34,6 @@
 	}
 	f.scope.Counter("store_eras_total").Inc(1)
 	f.log.Warn("the store was restored from an older copy, reading its full state again", zap.Uint64("era", era), zap.Uint64("was", previous),
-		zap.Uint64("version", f.version()), zap.Stringer("servers_at", f.serversAt()), zap.Duration("age", f.Age()))
+		zap.Uint64("version", f.version()), zap.Stringer("servers_at", f.serversAt()), zap.Duration("age", f.ConfirmationAge()))
 	f.members.EntriesLost()
 }
--- a/control/follow/fleet_test.go
+++ b/control/follow/fleet_test.go
@@ -116,7 +116,7 @@
 			two[i] = 1
 		}
 		Eventually(readyCounts(fleet), "2s", "5ms").Should(Equal(two))
-		Eventually(func() time.Duration { return fleet[0].Age() }, "3s", "10ms").Should(BeNumerically("<", time.Second))
+		Eventually(func() time.Duration { return fleet[0].ConfirmationAge() }, "3s", "10ms").Should(BeNumerically("<", time.Second))
 	})
 
 	// Guards against requests to a server that left: the store rejects just the instances
--- a/control/follow/follow.go
+++ b/control/follow/follow.go
@@ -175,9 +175,9 @@
 // Ready reports whether requests can be served.
 func (f *Follower) Ready() bool { return f.Table() != nil && f.Servers() != nil }
 
-// Age is the time since the store last confirmed the local configuration and list of
+// ConfirmationAge is the time since the store last confirmed the local configuration and list of
 // servers to a watching instance.
-func (f *Follower) Age() time.Duration { return f.now() - time.Duration(f.confirmedAt.Load()) }
+func (f *Follower) ConfirmationAge() time.Duration { return f.now() - time.Duration(f.confirmedAt.Load()) }
 
 // ConfigState reports whether the configuration in force is confirmed as the newest.
 func (f *Follower) ConfigState() knowledge.State {
@@ -205,7 +205,7 @@
 // Dump implements auburnmoor.Dumper.
 func (f *Follower) Dump() any {
 	st, now := f.members.Standing(), f.now()
-	d := Dump{Era: f.catalog.Era(), ConfigVersion: f.version(), ConfigState: f.ConfigState(), AgeMS: f.Age().Milliseconds(), Rank: st.Rank, Watchers: st.Watchers, Watching: f.hasWatchDuty()}
+	d := Dump{Era: f.catalog.Era(), ConfigVersion: f.version(), ConfigState: f.ConfigState(), AgeMS: f.ConfirmationAge().Milliseconds(), Rank: st.Rank, Watchers: st.Watchers, Watching: f.hasWatchDuty()}
 	if s := f.Servers(); s != nil {
 		d.ServersAt, d.Servers = s.At.String(), s.Len()
 	}
--- a/control/follow/follow_test.go
+++ b/control/follow/follow_test.go
@@ -153,7 +153,7 @@
 		srv.SetFaults(storeserver.Faults{ForgetHistory: true})
 		Eventually(ready(fol), "5s", "10ms").Should(BeZero())
 		Eventually(version(fol), "5s", "10ms").Should(Equal(uint64(11)))
-		Eventually(func() time.Duration { return fol.Age() }, "3s", "10ms").Should(BeNumerically("<", 500*time.Millisecond))
+		Eventually(func() time.Duration { return fol.ConfirmationAge() }, "3s", "10ms").Should(BeNumerically("<", 500*time.Millisecond))
 	},
 		Entry("an outage", storeserver.Faults{Down: true}),
 		Entry("silence", storeserver.Faults{Silent: true}),
@@ -173,7 +173,7 @@
 		second := startAt(down.Addr(), "f", "127.0.0.1:19801")
 		Eventually(ready(second), "10s", "10ms").Should(Equal(1))
 		Eventually(version(second), "10s", "10ms").Should(Equal(uint64(3)))
-		Expect(second.Age()).To(BeNumerically("<", 5*time.Second))
+		Expect(second.ConfirmationAge()).To(BeNumerically("<", 5*time.Second))
 
 		server("a", "draining")
 		Eventually(ready(first), "3s", "5ms").Should(BeZero())
--- a/control/follow/peers.go
+++ b/control/follow/peers.go
@@ -226,5 +226,5 @@
 	if snap == nil || !have.Before(snap.At) {
 		return
 	}
-	f.sendServers([]string{to}, fullReply(snap, f.Age()))
+	f.sendServers([]string{to}, fullReply(snap, f.ConfirmationAge()))
 }
--- a/control/follow/servers.go
+++ b/control/follow/servers.go
@@ -44,7 +44,7 @@
 		return f.serverSet.Replace(now, l.Servers, l.At)
 	})
 	if before != nil && (changed || before.At.Era < l.At.Era) {
-		f.sendServers(f.members.Standing().First(), fullReply(f.Servers(), f.Age()))
+		f.sendServers(f.members.Standing().First(), fullReply(f.Servers(), f.ConfirmationAge()))
 	}
 }
 
--- a/control/follow/watch.go
+++ b/control/follow/watch.go
@@ -179,5 +179,5 @@
 		f.scope.Tagged(map[string]string{"what": w.name}).Counter("store_takeovers_total").Inc(1)
 	}
 	f.log.Info("duty to watch the store changed", zap.String("what", w.name), zap.Bool("watching", onDuty), zap.Int("rank", st.Rank), zap.Int("watchers", st.Watchers),
-		zap.Int("instances", len(st.Order)), zap.Duration("age", f.Age()))
+		zap.Int("instances", len(st.Order)), zap.Duration("age", f.ConfirmationAge()))
 }
--- a/serve/relay/exchange.go
+++ b/serve/relay/exchange.go
@@ -174,7 +174,7 @@
 	x.relay.log.Warn("attempt failed", zap.String("request", x.req.ID), zap.String("server", plan.Writer().ID), zap.Int("helpers", len(plan.Helpers())),
 		zap.Stringer("identity", x.identity()), zap.Bool("crashed", x.crashed),
 		zap.Stringer("outcome", o), zap.Stringer("next", action), zap.Int("sent", x.state.Sent()), zap.Duration("left", x.remaining()),
-		zap.Duration("servers_age", x.relay.catalog.Age()), eventlog.Error(err))
+		zap.Duration("servers_age", x.relay.catalog.ConfirmationAge()), eventlog.Error(err))
 	switch action {
 	case attempt.Retry:
 		x.splitter.discardPartial()
--- a/serve/relay/log.go
+++ b/serve/relay/log.go
@@ -25,7 +25,7 @@
 	x.relay.log.Info("placed", zap.String("request", x.req.ID), zap.String("route", x.route.Name), zap.Uint64("version", x.version),
 		zap.String("customer", x.customer), zap.Int64("prompt", x.req.PromptTokens), zap.String("server", plan.Writer().ID),
 		zap.Strings("helpers", serverIDs(plan)[1:]), zap.Duration("predicted", plan.FirstEvent), zap.Bool("waiting", plan.Queued),
-		zap.Duration("held", x.heldFor), zap.Stringer("servers_at", snap.At), zap.Duration("servers_age", x.relay.catalog.Age()), zap.Duration("left", x.remaining()))
+		zap.Duration("held", x.heldFor), zap.Stringer("servers_at", snap.At), zap.Duration("servers_age", x.relay.catalog.ConfirmationAge()), zap.Duration("left", x.remaining()))
 }
 
 func (x *exchange) log(msg string, fields ...zap.Field) { x.relay.log.Info(msg, x.fields(fields)...) }
