--- a/control/follow/follow.go
+++ b/control/follow/follow.go
@@ -177,7 +177,9 @@
 
 // ConfirmationAge is the time since the store last confirmed the local configuration and list of
 // servers to a watching instance.
-func (f *Follower) ConfirmationAge() time.Duration { return f.now() - time.Duration(f.confirmedAt.Load()) }
+func (f *Follower) ConfirmationAge() time.Duration {
+	return f.now() - time.Duration(f.confirmedAt.Load())
+}
 
 // ConfigState reports whether the configuration in force is confirmed as the newest.
 func (f *Follower) ConfigState() knowledge.State {
@@ -212,10 +214,10 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, h := range f.confirmations.Newest(now, maxConfirmations) {
-		d.Heard = append(d.Heard, DumpHeard{By: h.By, AgeMS: (now - h.At).Milliseconds()})
+		d.Confirmations = append(d.Confirmations, DumpConfirmation{By: h.By, AgeMS: (now - h.At).Milliseconds()})
 	}
-	d.Kept, d.Doubted = f.serverSet.Retained(), f.serverSet.PresumedStale()
-	d.ConfigAt, d.ConfigBehind, d.Unreadable = f.configAt.String(), f.olderStoreVersion, maps.Clone(f.unreadableServers)
+	d.Retained, d.PresumedStale = f.serverSet.Retained(), f.serverSet.PresumedStale()
+	d.ConfigAt, d.OlderStoreVersion, d.Unreadable = f.configAt.String(), f.olderStoreVersion, maps.Clone(f.unreadableServers)
 	return d
 }
 
@@ -229,29 +231,29 @@
 	ConfigState knowledge.State `json:"config_state"`
 	// ConfigAt and ServersAt are store positions: era/revision.
 	ConfigAt string `json:"config_at"`
-	// ConfigBehind is the version in the store if it is older than the one in force, else
+	// OlderStoreVersion is the version in the store if it is older than the one in force, else
 	// zero.
-	ConfigBehind uint64 `json:"config_behind,omitempty"`
-	Servers      int    `json:"servers"`
-	ServersAt    string `json:"servers_at"`
-	// Kept servers are used though the store lost their entries, Doubted ones are listed
+	OlderStoreVersion uint64 `json:"config_behind,omitempty"`
+	Servers           int    `json:"servers"`
+	ServersAt         string `json:"servers_at"`
+	// Retained servers are used though the store lost their entries, PresumedStale ones are listed
 	// but not used, both for seconds after the store was restored from an older copy.
-	Kept    int   `json:"kept,omitempty"`
-	Doubted int   `json:"doubted,omitempty"`
-	AgeMS   int64 `json:"age_ms"`
+	Retained      int   `json:"kept,omitempty"`
+	PresumedStale int   `json:"doubted,omitempty"`
+	AgeMS         int64 `json:"age_ms"`
 	// Rank is the position of the instance among those of its data centre, of which the
 	// first Watchers watch the store.
 	Rank     int  `json:"rank"`
 	Watchers int  `json:"watchers"`
 	Watching bool `json:"watching"`
-	// Heard lists watching instances, with the age of their last answer from the store.
-	Heard []DumpHeard `json:"heard,omitempty"`
+	// Confirmations lists watching instances, with the age of their last answer from the store.
+	Confirmations []DumpConfirmation `json:"heard,omitempty"`
 	// Unreadable maps server entries that cannot be read to the reason.
 	Unreadable map[string]string `json:"unreadable,omitempty"`
 }
 
-// DumpHeard is how long ago the store last answered a watching instance.
-type DumpHeard struct {
+// DumpConfirmation is how long ago the store last answered a watching instance.
+type DumpConfirmation struct {
 	By    string `json:"by"`
 	AgeMS int64  `json:"age_ms"`
 }
