--- a/control/follow/follow.go
+++ b/control/follow/follow.go
@@ -231,13 +231,13 @@
 	ConfigState knowledge.State `json:"config_state"`
 	// ConfigAt and ServersAt are store positions: era/revision.
 	ConfigAt string `json:"config_at"`
-	// OlderStoreVersion is the version in the store if it is older than the one in force, else
-	// zero.
+	// OlderStoreVersion is the configuration version in the store if it is older than the
+	// one in force, else zero.
 	OlderStoreVersion uint64 `json:"config_behind,omitempty"`
 	Servers           int    `json:"servers"`
 	ServersAt         string `json:"servers_at"`
-	// Retained servers are used though the store lost their entries, PresumedStale ones are listed
-	// but not used, both for seconds after the store was restored from an older copy.
+	// Retained servers are used though the store lost their entries, PresumedStale ones are
+	// listed but not used, both for seconds after the store was restored from an older copy.
 	Retained      int   `json:"kept,omitempty"`
 	PresumedStale int   `json:"doubted,omitempty"`
 	AgeMS         int64 `json:"age_ms"`
@@ -246,7 +246,7 @@
 	Rank     int  `json:"rank"`
 	Watchers int  `json:"watchers"`
 	Watching bool `json:"watching"`
-	// Confirmations lists watching instances, with the age of their last answer from the store.
+	// Confirmations lists watching instances with the age of the store's last answer to them.
 	Confirmations []DumpConfirmation `json:"heard,omitempty"`
 	// Unreadable maps server entries that cannot be read to the reason.
 	Unreadable map[string]string `json:"unreadable,omitempty"`
--- a/control/platformapi/platformapi.go
+++ b/control/platformapi/platformapi.go
@@ -86,10 +86,11 @@
 	for k, v := range p.calls {
 		calls[k] = v
 	}
-	return Calls{Calls: calls}
+	return Dump{Calls: calls}
 }
 
-// Calls holds the number of calls to the object API by method.
-type Calls struct {
+// Dump is the state of the module.
+type Dump struct {
+	// Calls counts the calls to the object API by method.
 	Calls map[string]uint64 `json:"object_api_calls"`
 }
