--- a/control/follow/config.go
+++ b/control/follow/config.go
@@ -107,7 +107,7 @@
 		f.compareWithStore(c.Config.Version, at)
 	}
 	if c != nil && f.adopt(*c, "store", deflate(c.Raw)) {
-		f.sendConfig(f.members.Standing().First())
+		f.sendConfig(f.members.Standing().FirstTargets())
 		f.members.SpreadNow()
 	}
 	return at, nil
@@ -202,7 +202,7 @@
 	}
 	f.advanceConfigAt(c.At)
 	if !first {
-		f.sendConfig(f.members.Standing().Next())
+		f.sendConfig(f.members.Standing().Children())
 	}
 }
 
--- a/control/follow/follow.go
+++ b/control/follow/follow.go
@@ -101,7 +101,7 @@
 	// configKnown whether one was read from the store or received from a peer.
 	configAt      position.Position
 	configKnown   bool
-	confirmations *watch.News
+	confirmations *watch.Confirmations
 	answeredAt    map[string]time.Duration
 	// era is the store era that confirmations and answeredAt belong to.
 	era uint64
@@ -132,10 +132,10 @@
 	}
 	f.Wait = settings.Duration(f.watchWait())
 	f.watchPolicy = watch.Policy{StaleAfter: f.Wait.Std() + watchSlack + propagationTime, Step: takeoverStep}
-	f.confirmPolicy = knowledge.Policy{HoldsFor: f.watchPolicy.StaleAfter}
+	f.confirmPolicy = knowledge.Policy{ValidFor: f.watchPolicy.StaleAfter}
 	f.log, f.now, f.name, f.scope, f.catalog = c.Log, c.Now, c.Self.Name, c.Scope, src.Catalog()
 	f.serverSet, f.unreadableServers = backends.NewSet(), unreadable{}
-	f.confirmations, f.answeredAt = watch.NewNews(), map[string]time.Duration{}
+	f.confirmations, f.answeredAt = watch.NewConfirmations(), map[string]time.Duration{}
 	f.inbox = ring.New[peerConfig]("catalog.inbox", inboxSize)
 	f.offers = ring.New[offer]("catalog.newer", inboxSize)
 	f.members.Carry(f.addToGossip)
@@ -184,14 +184,14 @@
 // ConfigState reports whether the configuration in force is confirmed as the newest.
 func (f *Follower) ConfigState() knowledge.State {
 	at := time.Duration(f.confirmedAt.Load())
-	return f.confirmPolicy.State(f.now(), knowledge.Held{Any: f.Table() != nil, Replaced: f.superseded(), Ever: at > 0, ConfirmedAt: at})
+	return f.confirmPolicy.State(f.now(), knowledge.Copy{Exists: f.Table() != nil, Superseded: f.superseded(), EverConfirmed: at > 0, ConfirmedAt: at})
 }
 
 // superseded reports whether another live instance has a newer configuration. One that was
 // not announced for a while counts as lost with the instance that had it.
 func (f *Follower) superseded() bool {
 	newest := f.newerConfig.Load()
-	return newest != nil && f.now()-newest.at <= f.confirmPolicy.HoldsFor && f.configID().supersededBy(newest.id)
+	return newest != nil && f.now()-newest.at <= f.confirmPolicy.ValidFor && f.configID().supersededBy(newest.id)
 }
 
 func (f *Follower) version() uint64 {
--- a/control/follow/peers.go
+++ b/control/follow/peers.go
@@ -68,7 +68,7 @@
 	}
 	for _, c := range confirmed {
 		at := now - time.Duration(c.AgeMs)*time.Millisecond
-		f.confirmations.Note(watch.Heard{By: c.By, At: at})
+		f.confirmations.Record(watch.Confirmation{By: c.By, At: at})
 		newest = max(newest, at)
 	}
 	f.mu.Unlock()
@@ -94,7 +94,7 @@
 	next := &announcedConfig{id, f.now()}
 	for {
 		known := f.newerConfig.Load()
-		if known != nil && id.supersededBy(known.id) && next.at-known.at <= f.confirmPolicy.HoldsFor || f.newerConfig.CompareAndSwap(known, next) {
+		if known != nil && id.supersededBy(known.id) && next.at-known.at <= f.confirmPolicy.ValidFor || f.newerConfig.CompareAndSwap(known, next) {
 			return
 		}
 	}
@@ -134,7 +134,7 @@
 	f.answeredAt[what] = f.now()
 	at := min(f.answeredAt[sourceConfig], f.answeredAt[sourceServers])
 	if at > 0 {
-		f.confirmations.Note(watch.Heard{By: f.name, At: at})
+		f.confirmations.Record(watch.Confirmation{By: f.name, At: at})
 		f.confirm(at)
 	}
 }
--- a/control/follow/servers.go
+++ b/control/follow/servers.go
@@ -44,7 +44,7 @@
 		return f.serverSet.Replace(now, l.Servers, l.At)
 	})
 	if before != nil && (changed || before.At.Era < l.At.Era) {
-		f.sendServers(f.members.Standing().First(), fullReply(f.Servers(), f.ConfirmationAge()))
+		f.sendServers(f.members.Standing().FirstTargets(), fullReply(f.Servers(), f.ConfirmationAge()))
 	}
 }
 
@@ -59,7 +59,7 @@
 		return f.serverSet.Apply(now, l.Changes, l.At)
 	})
 	if changed {
-		f.sendServers(f.members.Standing().First(), changesReply(before, l))
+		f.sendServers(f.members.Standing().FirstTargets(), changesReply(before, l))
 	}
 }
 
@@ -143,7 +143,7 @@
 		return f.serverSet.Replace(now, serversFromReply(r), at)
 	})
 	if held != nil && (changed || held.At.Era < at.Era) {
-		f.sendServers(f.members.Standing().Next(), r)
+		f.sendServers(f.members.Standing().Children(), r)
 	}
 }
 
--- a/control/follow/watch.go
+++ b/control/follow/watch.go
@@ -164,7 +164,7 @@
 	st := f.members.Standing()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.watchPolicy.Due(st, f.confirmations.Age(now, st.Before))
+	return f.watchPolicy.ShouldWatch(st, f.confirmations.Age(now, st.PrecededBy))
 }
 
 // updateDuty logs when this instance starts or stops watching, and why.
