--- a/control/follow/knowledge_test.go
+++ b/control/follow/knowledge_test.go
@@ -12,12 +12,12 @@
 )
 
 var _ = Describe("the state of the configuration", func() {
-	const holds = 4 * time.Second
+	const validFor = 4 * time.Second
 	var now time.Duration
 	var f *Follower
 	BeforeEach(func() {
 		now = 10 * time.Second
-		f = &Follower{log: zap.NewNop(), now: func() time.Duration { return now }, confirmPolicy: knowledge.Policy{ValidFor: holds}}
+		f = &Follower{log: zap.NewNop(), now: func() time.Duration { return now }, confirmPolicy: knowledge.Policy{ValidFor: validFor}}
 		f.table.Store(route.NewTable(route.Config{Version: 8}))
 		f.encoded.Store(&content{version: 8})
 		f.confirm(now)
@@ -25,11 +25,11 @@
 
 	It("is confirmed until the confirmation expires", func() {
 		Expect(f.ConfigState()).To(Equal(knowledge.Confirmed))
-		now += holds + 1
+		now += validFor + 1
 		Expect(f.ConfigState()).To(Equal(knowledge.Old))
 	})
 
-	It("is old while another instance holds a newer one", func() {
+	It("is old while another instance validFor a newer one", func() {
 		f.recordNewerConfig(configID{version: 9})
 		f.recordNewerConfig(configID{version: 7})
 		Expect(f.ConfigState()).To(Equal(knowledge.Old))
@@ -39,9 +39,9 @@
 
 	// Guards against a fleet that never confirms its configuration again, because a lost
 	// instance had a version that no other instance has.
-	It("is confirmed again once no live instance holds the newer one", func() {
+	It("is confirmed again once no live instance validFor the newer one", func() {
 		f.recordNewerConfig(configID{version: 9})
-		now += holds + 1
+		now += validFor + 1
 		f.confirm(now)
 		Expect(f.ConfigState()).To(Equal(knowledge.Confirmed))
 	})
