--- a/control/follow/knowledge_test.go
+++ b/control/follow/knowledge_test.go
@@ -29,7 +29,7 @@
 		Expect(f.ConfigState()).To(Equal(knowledge.Old))
 	})
 
-	It("is old while another instance validFor a newer one", func() {
+	It("is old while another instance holds a newer one", func() {
 		f.recordNewerConfig(configID{version: 9})
 		f.recordNewerConfig(configID{version: 7})
 		Expect(f.ConfigState()).To(Equal(knowledge.Old))
@@ -39,7 +39,7 @@
 
 	// Guards against a fleet that never confirms its configuration again, because a lost
 	// instance had a version that no other instance has.
-	It("is confirmed again once no live instance validFor the newer one", func() {
+	It("is confirmed again once no live instance holds the newer one", func() {
 		f.recordNewerConfig(configID{version: 9})
 		now += validFor + 1
 		f.confirm(now)
