--- a/vtime/queue.go
+++ b/vtime/queue.go
@@ -1,6 +1,6 @@
-// Package vtime runs functions in the order of a virtual clock. Events of the
-// same instant run in the order in which they were added, so a run with the
-// same seed is the same every time.
+// Package vtime is a discrete-event scheduler with a virtual clock. Events due at
+// the same time run in the order in which they were added, so that runs with the
+// same seed are identical.
 package vtime
 
 import (
@@ -29,8 +29,8 @@
 	return e
 }
 
-// Queue is a virtual clock with the events to come. The zero value is at time
-// zero. It is not safe for concurrent use.
+// Queue is a virtual clock and its pending events. The zero value is ready to use,
+// at time zero. It is not safe for concurrent use.
 type Queue struct {
 	now    time.Duration
 	seq    int
@@ -40,23 +40,23 @@
 // Now returns the virtual time.
 func (q *Queue) Now() time.Duration { return q.now }
 
-// At adds an event.
+// At schedules run at virtual time t.
 func (q *Queue) At(t time.Duration, run func()) {
 	q.seq++
 	heap.Push(&q.events, event{at: t, seq: q.seq, run: run})
 }
 
-// After adds an event relative to now.
+// After schedules run at a delay of d from now.
 func (q *Queue) After(d time.Duration, run func()) { q.At(q.now+d, run) }
 
-// RunUntil runs the events up to and including end, as long as more says so.
-func (q *Queue) RunUntil(end time.Duration, more func() bool) {
-	for len(q.events) > 0 && q.events[0].at <= end && more() {
+// RunUntil runs the events up to and including end, while proceed returns true.
+func (q *Queue) RunUntil(end time.Duration, proceed func() bool) {
+	for len(q.events) > 0 && q.events[0].at <= end && proceed() {
 		e := heap.Pop(&q.events).(event)
 		q.now = e.at
 		e.run()
 	}
 }
 
-// Always is a condition for RunUntil that never stops it.
+// Always is a condition for RunUntil under which it runs until end.
 func Always() bool { return true }
