--- a/lab/suspects/suspects.go
+++ b/lab/suspects/suspects.go
@@ -1,7 +1,7 @@
-// Package suspects plays requests that crash the servers that run them, among others that
-// do not, in virtual time: with the tables of decide/poison at each instance, and the way
-// in which they tell each other. It counts what the fleet loses, and who is refused
-// without being the cause.
+// Package suspects simulates poison requests, which crash the backend servers that run
+// them, among ordinary requests in virtual time. Each instance has a table of decide/poison
+// and exchanges records with its peers. A run counts the crashes and the ordinary requests
+// that were refused by mistake.
 package suspects
 
 import (
@@ -14,47 +14,48 @@
 	"github.com/auburnmoor/auburnmoor/vtime"
 )
 
-// Options size a run.
+// Options configure a run.
 type Options struct {
 	Instances, Servers int
 	Seed               uint64
 	Duration           time.Duration
-	// Rate is the number of ordinary requests a second and server.
+	// Rate is the number of ordinary requests per second and server.
 	Rate float64
-	// Poisons are requests that crash servers; each is sent again PoisonEvery after its
-	// last attempt was over.
+	// Poisons is the number of requests that crash servers; each is sent again
+	// PoisonEvery after its last attempt ended.
 	Poisons     int
 	PoisonEvery time.Duration
-	// CrashEvery is the mean time between other ends of servers, each of CrashShare of
-	// them at once; zero has none.
+	// CrashEvery is the mean time between crashes with other causes, each of which stops
+	// CrashShare of the servers at once; zero disables them.
 	CrashEvery time.Duration
 	CrashShare float64
-	// Loss is the share of messages between instances that are lost.
+	// Loss is the fraction of messages between instances that are lost.
 	Loss float64
-	// RestartEvery is the mean time between restarts of instances; zero has none.
+	// RestartEvery is the mean time between restarts of instances; zero disables them.
 	RestartEvery time.Duration
-	// Together runs suspects beside others, as ordinary requests.
+	// Together disables isolation: suspects share servers with other requests.
 	Together bool
 }
 
-// Result is what a run counted.
+// Result holds the counts of a run.
 type Result struct {
-	// Ordinary requests, those of them refused as causes of crashes, and those that were
-	// part of two crashes and more.
+	// Ordinary counts the ordinary requests, Refused those of them refused as poisonous,
+	// and Suspects those of them that became suspects through the crashes they were in.
 	Ordinary, Refused, Suspects int
-	// Crashes are the servers that poisonous requests ended, Late those of them by a
-	// request that had ended three servers more than window ago.
+	// Crashes counts the crashes caused by poisonous requests, Late those that came more
+	// than maxPropagation after the third crash of the same request.
 	Crashes, Late int
-	// Known is the time from the third crash of a request until the last instance knew.
+	// Known holds, for each request, the time from its third crash until all instances
+	// classified it as poisonous.
 	Known []time.Duration
-	// Messages and Bytes are what instances told each other because of crashes.
+	// Messages and Bytes measure the traffic between instances that crashes cause.
 	Messages, Bytes int
-	// Broken are attempts with ordinary requests that ended with a server that a poisonous
-	// request ended.
+	// Broken counts the other runs that failed because a poisonous request crashed their
+	// server.
 	Broken int
 }
 
-// Add adds another run.
+// Add adds the counts of another run.
 func (r *Result) Add(o Result) {
 	r.Ordinary += o.Ordinary
 	r.Refused += o.Refused
@@ -67,71 +68,73 @@
 	r.Broken += o.Broken
 }
 
-// Figures of the model.
+// Parameters of the model.
 const (
-	// window is the time in which all instances must know of the third crash.
-	window = 3 * time.Second
-	// crashAfter is how long a poisonous request runs, readFor and runFor the means of
-	// reading a prompt and of writing an answer.
-	crashAfter = 80 * time.Millisecond
-	readFor    = 150 * time.Millisecond
-	runFor     = 1200 * time.Millisecond
-	backAfter  = 1500 * time.Millisecond
-	// linkDelay is what a message takes at least, gatherFor and gossipEvery are those of
-	// the product.
-	linkDelay   = time.Millisecond
-	gatherFor   = 10 * time.Millisecond
-	gossipEvery = 400 * time.Millisecond
-	gossipPeers = 3
-	// probeFor is the question whether a server refuses connections.
-	probeFor = 2 * time.Millisecond
-	// runsOfAttempt is how many servers one client attempt may be sent to, attempts how
-	// often a client asks, and goAway how long it waits before it asks again.
-	runsOfAttempt = 2
-	attempts      = 2
-	goAway        = 50 * time.Millisecond
-	// A record has some recordBytes and crashBytes for each crash when it is sent, the end
-	// of a server endBytes.
+	// maxPropagation is the time within which all instances must know of the third crash.
+	maxPropagation = 3 * time.Second
+	// crashAfter is the time from the end of prefill to the crash, meanPrefill and
+	// meanDecode are the mean times of the two phases, restartTime is the downtime of a
+	// server.
+	crashAfter  = 80 * time.Millisecond
+	meanPrefill = 150 * time.Millisecond
+	meanDecode  = 1200 * time.Millisecond
+	restartTime = 1500 * time.Millisecond
+	// linkDelay is the minimum latency of a message; gatherDelay and gossipInterval have
+	// the values of the product.
+	linkDelay      = time.Millisecond
+	gatherDelay    = 10 * time.Millisecond
+	gossipInterval = 400 * time.Millisecond
+	gossipPeers    = 3
+	// probeTime is how long it takes to probe whether a server refuses connections.
+	probeTime = 2 * time.Millisecond
+	// maxPlacements is the number of servers that one client attempt may be sent to,
+	// maxAttempts the number of attempts of a client, and retryDelay the wait before the
+	// next attempt, or before the next placement when no server is eligible.
+	maxPlacements = 2
+	maxAttempts   = 2
+	retryDelay    = 50 * time.Millisecond
+	// An encoded record takes about recordBytes, and crashBytes for each of its crashes;
+	// a server exit takes exitBytes.
 	recordBytes = 26
 	crashBytes  = 21
-	endBytes    = 16
+	exitBytes   = 16
 )
 
 type instance struct {
-	began  time.Duration
-	table  *poison.Table
-	share  *poison.Disseminator
-	queued bool
+	began        time.Duration
+	table        *poison.Table
+	disseminator *poison.Disseminator
+	sendPending  bool
 }
 
 type server struct {
-	id     uint64
-	downTo time.Duration
-	runs   map[*run]bool
-	// apart counts the suspects that run here, away from others.
-	apart int
+	id        uint64
+	downUntil time.Duration
+	runs      map[*run]bool
+	// isolated counts the suspects that run here; others are not placed beside them.
+	isolated int
 }
 
-// request is one request with all its attempts.
+// request is a client request across all of its attempts.
 type request struct {
-	key     poison.Key
-	poison  bool
-	crashes int
-	third   time.Duration
-	asked   int
-	suspect bool
+	key          poison.Key
+	poison       bool
+	crashes      int
+	thirdCrash   time.Duration
+	attemptCount int
+	suspect      bool
 }
 
-// run is a request at a server.
+// run is the state of one client attempt and its current placement.
 type run struct {
-	req      *request
-	at       *instance
-	srv      *server
-	began    time.Duration
-	sent     int
-	avoid    []*server
-	apart    bool
-	anyCrash bool
+	req        *request
+	at         *instance
+	srv        *server
+	began      time.Duration
+	placements int
+	avoid      []*server
+	isolated   bool
+	sawCrash   bool
 }
 
 type world struct {
@@ -144,7 +147,7 @@
 	serial    uint64
 }
 
-// Play runs one fleet.
+// Play simulates one fleet.
 func Play(o Options) Result {
 	w := &world{o: o, rand: rand.New(rand.NewPCG(o.Seed, 1))}
 	for range o.Instances {
@@ -155,20 +158,20 @@
 		w.restart(w.servers[len(w.servers)-1])
 	}
 	for i := range w.instances {
-		w.every(gossipEvery, func() { w.gossip(w.instances[i]) })
+		w.every(gossipInterval, func() { w.sendDigests(w.instances[i]) })
 	}
 	if o.Rate > 0 {
-		w.poisson(float64(time.Second)/(o.Rate*float64(o.Servers)), w.ordinary)
+		w.poisson(float64(time.Second)/(o.Rate*float64(o.Servers)), w.sendOrdinary)
 	}
 	if o.CrashEvery > 0 {
-		w.poisson(float64(o.CrashEvery), w.wave)
+		w.poisson(float64(o.CrashEvery), w.crashWave)
 	}
 	if o.RestartEvery > 0 {
 		w.poisson(float64(o.RestartEvery), func() { w.instances[w.rand.IntN(o.Instances)] = w.newInstance() })
 	}
 	for range o.Poisons {
 		r := w.newRequest(true)
-		w.after(time.Duration(w.rand.Int64N(int64(time.Second))), func() { w.ask(r) })
+		w.after(time.Duration(w.rand.Int64N(int64(time.Second))), func() { w.startAttempt(r) })
 	}
 	w.clock.RunUntil(o.Duration, vtime.Always)
 	return w.res
@@ -199,7 +202,7 @@
 func (w *world) newInstance() *instance {
 	return &instance{
 		began: w.now(), table: poison.NewTable(),
-		share: poison.NewDisseminator(rand.New(rand.NewPCG(w.o.Seed, w.rand.Uint64()))),
+		disseminator: poison.NewDisseminator(rand.New(rand.NewPCG(w.o.Seed, w.rand.Uint64()))),
 	}
 }
 
@@ -215,75 +218,75 @@
 	return r
 }
 
-// clock is the instance's own: each began at another time.
-func (i *instance) clock(now time.Duration) time.Duration { return now - i.began + time.Second }
+// localTime converts a time to the instance's clock, which starts with the instance.
+func (i *instance) localTime(now time.Duration) time.Duration { return now - i.began + time.Second }
 
-func (w *world) anyInstance() *instance { return w.instances[w.rand.IntN(len(w.instances))] }
+func (w *world) randomInstance() *instance { return w.instances[w.rand.IntN(len(w.instances))] }
 
-func (w *world) ordinary() {
+func (w *world) sendOrdinary() {
 	r := w.newRequest(false)
 	w.res.Ordinary++
-	w.ask(r)
+	w.startAttempt(r)
 }
 
-// ask is a client attempt at any instance.
-func (w *world) ask(r *request) {
-	r.asked++
-	w.place(&run{req: r, at: w.anyInstance()})
+// startAttempt begins a client attempt at a random instance.
+func (w *world) startAttempt(r *request) {
+	r.attemptCount++
+	w.place(&run{req: r, at: w.randomInstance()})
 }
 
-// over ends a client attempt.
-func (w *world) over(x *run, refused bool) {
-	if x.anyCrash {
+// endAttempt ends a client attempt and schedules the next one, if any.
+func (w *world) endAttempt(x *run, refused bool) {
+	if x.sawCrash {
 		x.at.table.MarkFailed(x.req.key)
-		w.tell(x.at)
+		w.scheduleSend(x.at)
 	}
 	switch {
 	case x.req.poison:
-		w.after(w.o.PoisonEvery, func() { w.ask(x.req) })
+		w.after(w.o.PoisonEvery, func() { w.startAttempt(x.req) })
 	case refused:
 		w.res.Refused++
-	case x.req.asked < attempts:
-		w.after(goAway, func() { w.ask(x.req) })
+	case x.req.attemptCount < maxAttempts:
+		w.after(retryDelay, func() { w.startAttempt(x.req) })
 	}
 }
 
-// place sends a request to a server, once it may be.
+// place sends a request to a server, once the wait that its assessment asks for is over.
 func (w *world) place(x *run) {
 	i := x.at
-	ruling := i.table.Assess(i.clock(w.now()), x.req.key, len(w.servers))
+	assessment := i.table.Assess(i.localTime(w.now()), x.req.key, len(w.servers))
 	switch {
-	case ruling.Verdict == poison.Poisonous:
-		w.over(x, true)
+	case assessment.Verdict == poison.Poisonous:
+		w.endAttempt(x, true)
 		return
-	case ruling.Wait > 0:
-		w.after(ruling.Wait, func() { w.place(x) })
+	case assessment.Wait > 0:
+		w.after(assessment.Wait, func() { w.place(x) })
 		return
 	}
-	x.apart = ruling.Verdict == poison.Suspect && !w.o.Together
-	x.srv = w.choose(x)
+	x.isolated = assessment.Verdict == poison.Suspect && !w.o.Together
+	x.srv = w.chooseServer(x)
 	if x.srv == nil {
-		w.after(goAway, func() { w.place(x) })
+		w.after(retryDelay, func() { w.place(x) })
 		return
 	}
-	if x.apart {
-		x.srv.apart++
+	if x.isolated {
+		x.srv.isolated++
 	}
 	x.began = w.now()
 	x.srv.runs[x] = true
 	srv, id := x.srv, x.srv.id
 	alive := func() bool { return srv.runs[x] && srv.id == id }
 	if x.req.poison {
-		w.after(w.exp(readFor)+crashAfter, func() {
+		w.after(w.exp(meanPrefill)+crashAfter, func() {
 			if alive() {
-				w.crashOf(x)
+				w.crashServer(x)
 			}
 		})
 		return
 	}
-	w.after(w.exp(readFor)+w.exp(runFor), func() {
+	w.after(w.exp(meanPrefill)+w.exp(meanDecode), func() {
 		if alive() {
-			w.answered(x)
+			w.completeRun(x)
 		}
 	})
 }
@@ -292,19 +295,19 @@
 	return time.Duration(w.rand.ExpFloat64() * float64(mean))
 }
 
-// choose takes the server with fewer requests of two drawn ones, or the one with fewest
-// for a suspect.
-func (w *world) choose(x *run) *server {
+// chooseServer returns the less loaded of two random servers, or the least loaded of all
+// for an isolated suspect.
+func (w *world) chooseServer(x *run) *server {
 	var free []*server
 	for _, s := range w.servers {
-		if w.now() >= s.downTo && !slices.Contains(x.avoid, s) && s.apart == 0 {
+		if w.now() >= s.downUntil && !slices.Contains(x.avoid, s) && s.isolated == 0 {
 			free = append(free, s)
 		}
 	}
 	if len(free) == 0 {
 		return nil
 	}
-	if x.apart {
+	if x.isolated {
 		return slices.MinFunc(free, func(a, b *server) int { return len(a.runs) - len(b.runs) })
 	}
 	a, b := free[w.rand.IntN(len(free))], free[w.rand.IntN(len(free))]
@@ -314,36 +317,36 @@
 	return a
 }
 
-func (w *world) leave(x *run) {
+func (w *world) removeRun(x *run) {
 	delete(x.srv.runs, x)
-	if x.apart {
-		x.srv.apart--
+	if x.isolated {
+		x.srv.isolated--
 	}
 }
 
-func (w *world) answered(x *run) {
-	w.leave(x)
-	x.at.table.MarkAnswered(x.at.clock(w.now()), x.req.key)
-	w.tell(x.at)
+func (w *world) completeRun(x *run) {
+	w.removeRun(x)
+	x.at.table.MarkAnswered(x.at.localTime(w.now()), x.req.key)
+	w.scheduleSend(x.at)
 }
 
-func (w *world) crashOf(x *run) {
+func (w *world) crashServer(x *run) {
 	r := x.req
 	r.crashes++
 	w.res.Crashes++
 	if r.crashes == 3 {
-		r.third = w.now()
-		w.awaitKnown(r, w.now())
+		r.thirdCrash = w.now()
+		w.awaitPropagation(r, w.now())
 	}
-	if r.crashes > 3 && w.now() > r.third+window {
+	if r.crashes > 3 && w.now() > r.thirdCrash+maxPropagation {
 		w.res.Late++
 	}
 	w.res.Broken += len(x.srv.runs) - 1
-	w.end(x.srv)
+	w.stopServer(x.srv)
 }
 
-// end ends a server with all that it runs.
-func (w *world) end(s *server) {
+// stopServer stops a server and fails all of its runs.
+func (w *world) stopServer(s *server) {
 	ended := make([]*run, 0, len(s.runs))
 	for x := range s.runs {
 		ended = append(ended, x)
@@ -351,39 +354,39 @@
 	slices.SortFunc(ended, func(a, b *run) int { return slices.Compare(a.req.key[:], b.req.key[:]) })
 	id := s.id
 	w.restart(s)
-	s.downTo = w.now() + backAfter
+	s.downUntil = w.now() + restartTime
 	at := w.now()
 	for _, x := range ended {
-		w.leave(x)
-		w.after(probeFor, func() { w.broken(x, id, at) })
+		w.removeRun(x)
+		w.after(probeTime, func() { w.handleCrash(x, id, at) })
 	}
 }
 
-// broken is the end of an attempt with its server.
-func (w *world) broken(x *run, id uint64, at time.Duration) {
+// handleCrash records that a run failed with its server, and places it again if it may be.
+func (w *world) handleCrash(x *run, id uint64, at time.Duration) {
 	i := x.at
-	i.table.AddCrash(i.clock(w.now()), x.req.key, poison.Crash{Server: id, Began: i.clock(x.began), Ended: i.clock(at)})
-	x.anyCrash = true
-	if i.table.Assess(i.clock(w.now()), x.req.key, len(w.servers)).Verdict != poison.Clean && !x.req.poison && !x.req.suspect {
+	i.table.AddCrash(i.localTime(w.now()), x.req.key, poison.Crash{Server: id, Began: i.localTime(x.began), Ended: i.localTime(at)})
+	x.sawCrash = true
+	if i.table.Assess(i.localTime(w.now()), x.req.key, len(w.servers)).Verdict != poison.Clean && !x.req.poison && !x.req.suspect {
 		x.req.suspect = true
 		w.res.Suspects++
 	}
-	w.tell(i)
-	x.sent++
+	w.scheduleSend(i)
+	x.placements++
 	x.avoid = append(x.avoid, x.srv)
-	if x.sent < runsOfAttempt {
+	if x.placements < maxPlacements {
 		w.place(x)
 		return
 	}
-	w.over(x, false)
+	w.endAttempt(x, false)
 }
 
-// wave ends a share of the servers for a cause of their own.
-func (w *world) wave() {
+// crashWave stops CrashShare of the servers for a cause unrelated to requests.
+func (w *world) crashWave() {
 	n := max(1, int(w.o.CrashShare*float64(len(w.servers))))
 	for _, i := range w.rand.Perm(len(w.servers))[:n] {
-		if s := w.servers[i]; w.now() >= s.downTo {
-			w.end(s)
+		if s := w.servers[i]; w.now() >= s.downUntil {
+			w.stopServer(s)
 		}
 	}
 }
