--- a/lab/trial/faults.go
+++ b/lab/trial/faults.go
@@ -4,27 +4,27 @@
 	"time"
 )
 
-// fault is something that fails and comes back.
+// fault is a failure that is injected and later repaired.
 type fault struct {
 	name  string
 	begin func(t *Trial) (end func())
-	// lasts is the mean duration.
-	lasts time.Duration
+	// meanDuration is the mean duration beyond a minimum of one second.
+	meanDuration time.Duration
 }
 
 var faults = []fault{
-	{name: "instance killed and replaced", begin: (*Trial).kill, lasts: 8 * time.Second},
-	{name: "instance paused", begin: (*Trial).pause, lasts: 12 * time.Second},
-	{name: "store down", begin: (*Trial).storeDown, lasts: 10 * time.Second},
-	{name: "replies of writes lost", begin: (*Trial).loseReplies, lasts: 8 * time.Second},
-	{name: "stale reads", begin: (*Trial).staleReads, lasts: 8 * time.Second},
-	{name: "store back from an older copy", begin: (*Trial).storeBackOlder, lasts: 2 * time.Second},
-	{name: "link cut", begin: (*Trial).cutLink, lasts: 8 * time.Second},
-	{name: "data centre cut off", begin: (*Trial).cutDataCentre, lasts: 10 * time.Second},
-	{name: "wall clock jumps", begin: (*Trial).jumpClock, lasts: 5 * time.Second},
+	{name: "instance killed and replaced", begin: (*Trial).kill, meanDuration: 8 * time.Second},
+	{name: "instance paused", begin: (*Trial).pause, meanDuration: 12 * time.Second},
+	{name: "store down", begin: (*Trial).storeDown, meanDuration: 10 * time.Second},
+	{name: "replies of writes lost", begin: (*Trial).loseReplies, meanDuration: 8 * time.Second},
+	{name: "stale reads", begin: (*Trial).staleReads, meanDuration: 8 * time.Second},
+	{name: "store back from an older copy", begin: (*Trial).restoreOldCopy, meanDuration: 2 * time.Second},
+	{name: "link cut", begin: (*Trial).cutLink, meanDuration: 8 * time.Second},
+	{name: "data centre cut off", begin: (*Trial).cutDataCentre, meanDuration: 10 * time.Second},
+	{name: "wall clock jumps", begin: (*Trial).jumpClock, meanDuration: 5 * time.Second},
 }
 
-// injectFault begins one fault, or two at once.
+// injectFault begins one or two faults.
 func (t *Trial) injectFault() {
 	for range 1 + t.rand.IntN(2) {
 		f := faults[t.rand.IntN(len(faults))]
@@ -33,7 +33,7 @@
 			continue
 		}
 		t.Report.Faults[f.name]++
-		t.after(time.Second+t.jitter(f.lasts), end)
+		t.after(time.Second+t.jitter(f.meanDuration), end)
 	}
 }
 
@@ -51,7 +51,7 @@
 	return in
 }
 
-// kill ends an instance; a fresh one of the same name replaces it.
+// kill stops an instance; a new incarnation with the same name replaces it.
 func (t *Trial) kill() func() {
 	in := t.victim()
 	if in == nil {
@@ -66,12 +66,13 @@
 	}
 }
 
-// watchDetection measures when every live instance has noticed the death.
-func (t *Trial) watchDetection(gone *instance) {
+// watchDetection records how long it takes until every live instance considers the
+// killed one dead.
+func (t *Trial) watchDetection(killed *instance) {
 	died := t.now()
-	var look func()
-	look = func() {
-		if t.instances[gone.index] != gone {
+	var check func()
+	check = func() {
+		if t.instances[killed.index] != killed {
 			return
 		}
 		for _, in := range t.instances {
@@ -79,15 +80,15 @@
 				continue
 			}
 			for _, s := range in.table.Alive(in.now()) {
-				if s.Name == gone.name {
-					t.after(tickEvery, look)
+				if s.Name == killed.name {
+					t.after(tickInterval, check)
 					return
 				}
 			}
 		}
 		t.Report.Detection = append(t.Report.Detection, t.now()-died)
 	}
-	t.after(tickEvery, look)
+	t.after(tickInterval, check)
 }
 
 func (t *Trial) pause() func() {
@@ -111,14 +112,14 @@
 	return func() { t.store.Down = false }
 }
 
-// mostCopyAge is the most that a copy is old when the store comes back from it.
-const mostCopyAge = 5 * time.Second
+// maxCopyAge is the maximum time between the snapshot and the outage of the store.
+const maxCopyAge = 5 * time.Second
 
-// storeBackOlder takes a copy now, and after some seconds the store is away for a moment
-// and comes back from it.
-func (t *Trial) storeBackOlder() func() {
+// restoreOldCopy takes a snapshot now, makes the store unavailable some seconds later,
+// and then restores it from the snapshot.
+func (t *Trial) restoreOldCopy() func() {
 	t.store.Copy()
-	t.after(time.Duration(t.rand.Int64N(int64(mostCopyAge))), func() { t.store.Down = true })
+	t.after(time.Duration(t.rand.Int64N(int64(maxCopyAge))), func() { t.store.Down = true })
 	return func() {
 		t.store.Down = false
 		t.store.Restore()
@@ -140,7 +141,7 @@
 	return t.cutPairs([][2]string{{a, b}, {b, a}})
 }
 
-// cutDataCentre separates a third of the instances from the rest.
+// cutDataCentre partitions a third of the instances from the rest.
 func (t *Trial) cutDataCentre() func() {
 	var pairs [][2]string
 	dc := t.rand.IntN(3)
@@ -156,11 +157,11 @@
 
 func (t *Trial) cutPairs(pairs [][2]string) func() {
 	for _, p := range pairs {
-		t.cut[p] = true
+		t.cutLinks[p] = true
 	}
 	return func() {
 		for _, p := range pairs {
-			delete(t.cut, p)
+			delete(t.cutLinks, p)
 		}
 	}
 }
--- a/lab/trial/report.go
+++ b/lab/trial/report.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// Promises are what a trial checks.
-var Promises = []string{
+// Invariants are the properties that a trial checks.
+var Invariants = []string{
 	"runs at most once",
 	"orders from one holder at a time",
 	"accepted configuration never reverts",
 	"accepted configuration is in force everywhere",
 }
 
-// Report is what a trial counted.
+// Report holds the counts and timings of one or more trials.
 type Report struct {
 	Seeds        int
 	Duration     time.Duration
@@ -46,20 +46,20 @@
 	return Report{Seeds: 1, Faults: map[string]int{}, Violations: map[string]int{}, attempts: map[string]*attempt{}}
 }
 
-// maxExamples bounds the violations described.
+// maxExamples bounds the violations that a trial describes in Examples.
 const maxExamples = 5
 
-func (r *Report) violate(promise, format string, args ...any) {
-	r.Violations[promise]++
+func (r *Report) recordViolation(invariant, format string, args ...any) {
+	r.Violations[invariant]++
 	if len(r.Examples) < maxExamples {
-		r.Examples = append(r.Examples, promise+": "+fmt.Sprintf(format, args...))
+		r.Examples = append(r.Examples, invariant+": "+fmt.Sprintf(format, args...))
 	}
 }
 
-func (r *Report) latency(d time.Duration) { r.Latency = append(r.Latency, d) }
+func (r *Report) addLatency(d time.Duration) { r.Latency = append(r.Latency, d) }
 
-// propagationLimit is the time in which a change must be everywhere while
-// nothing fails.
+// propagationLimit is the time within which every instance must apply a change while
+// no faults are injected.
 const propagationLimit = 14 * time.Second
 
 func (t *Trial) finish() {
@@ -70,12 +70,12 @@
 	}
 	for _, c := range t.changes {
 		if !c.done && t.now()-c.at > propagationLimit {
-			t.Report.violate("accepted configuration is in force everywhere", "version %d", c.version)
+			t.Report.recordViolation("accepted configuration is in force everywhere", "version %d", c.version)
 		}
 	}
 }
 
-// Total counts the violations.
+// Total returns the number of violations.
 func (r *Report) Total() int {
 	n := 0
 	for _, v := range r.Violations {
@@ -84,7 +84,7 @@
 	return n
 }
 
-// Add merges another trial's report.
+// Add adds the counts and timings of another report.
 func (r *Report) Add(o Report) {
 	r.Seeds += o.Seeds
 	r.Duration += o.Duration
@@ -111,7 +111,7 @@
 	r.Writes += o.Writes
 }
 
-// Quantile returns a quantile of durations.
+// Quantile returns the q-quantile of v, or zero if v is empty.
 func Quantile(v []time.Duration, q float64) time.Duration {
 	if len(v) == 0 {
 		return 0
@@ -120,7 +120,7 @@
 	return s[min(len(s)-1, int(q*float64(len(s))))].Round(time.Millisecond)
 }
 
-// Write prints the report.
+// Write prints the report as a table.
 func (r *Report) Write(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "trials\t%d\t%s of virtual time\n", r.Seeds, r.Duration.Round(time.Second))
@@ -130,7 +130,7 @@
 	fmt.Fprintf(w, "requests that may not be repeated\t%d\t%d calls, %d run, %d repeats answered, %d refused as not run\n", r.Requests, r.Claims, r.Granted, r.Repeats, r.Refused)
 	fmt.Fprintf(w, "configuration changes\t%d\t%d conflicts\n", r.Changes, r.Conflicts)
 	fmt.Fprintf(w, "orders\t%d\t%d refused for an old fencing number\n", r.Orders, r.StaleRefused)
-	for _, p := range Promises {
+	for _, p := range Invariants {
 		fmt.Fprintf(w, "violations\t%d\t%s\n", r.Violations[p], p)
 	}
 	for _, line := range []struct {
--- a/lab/trial/requests.go
+++ b/lab/trial/requests.go
@@ -15,40 +15,40 @@
 	"github.com/cockroachdb/errors"
 )
 
-// keyState is what the trial knows of one idempotency key.
+// keyState tracks the executions of one idempotency key.
 type keyState struct {
 	key  string
 	runs int
 }
 
-// attempt is one call with a key at one instance.
+// attempt is one request with a key, sent to one instance.
 type attempt struct {
-	key  *keyState
-	req  *peerpb.Claim
-	at   *instance
-	born time.Duration
-	done bool
+	key       *keyState
+	req       *peerpb.Claim
+	at        *instance
+	startedAt time.Duration
+	done      bool
 }
 
-// repeatsPerKey is how often a caller sends a key, at different instances.
+// repeatsPerKey is how often a caller sends a key, each time to a random instance.
 const repeatsPerKey = 3
 
-// newClaim starts a caller that sends one key several times.
+// newClaim starts a caller that sends the same key repeatsPerKey times.
 func (t *Trial) newClaim() {
 	t.Report.Requests++
 	k := &keyState{key: fmt.Sprintf("key-%d", t.Report.Requests)}
 	t.keys[k.key] = k
 	for i := range repeatsPerKey {
-		t.after(time.Duration(i)*t.jitter(time.Second), func() { t.try(k, i) })
+		t.after(time.Duration(i)*t.jitter(time.Second), func() { t.sendClaim(k, i) })
 	}
 }
 
-func (t *Trial) try(k *keyState, n int) {
+func (t *Trial) sendClaim(k *keyState, n int) {
 	in := t.instances[t.rand.IntN(len(t.instances))]
 	if in.dead || in.paused {
 		return
 	}
-	a := &attempt{key: k, at: in, born: t.now(), req: &peerpb.Claim{
+	a := &attempt{key: k, at: in, startedAt: t.now(), req: &peerpb.Claim{
 		Customer: "c", Key: k.key, BodyHash: 1, RequestId: fmt.Sprintf("%s~%d~%s~%d", in.name, in.incarnation, k.key, n),
 	}}
 	t.Report.attempts[a.req.RequestId] = a
@@ -56,27 +56,27 @@
 	in.askOwner(a)
 }
 
-// claimPatience and claimResend mirror the daemon's.
+// claimTimeout and claimResendInterval mirror those of the daemon.
 const (
-	claimPatience = 4 * time.Second
-	claimResend   = 300 * time.Millisecond
+	claimTimeout        = 4 * time.Second
+	claimResendInterval = 300 * time.Millisecond
 )
 
 func (in *instance) askOwner(a *attempt) {
 	if a.done || in.dead {
 		return
 	}
-	if in.t.now()-a.born > claimPatience {
+	if in.t.now()-a.startedAt > claimTimeout {
 		a.done = true
 		in.t.Report.Refused++
-		in.toOwner(a.req, &peerpb.ClaimResult{Customer: a.req.Customer, Key: a.req.Key, RequestId: a.req.RequestId, NotRun: true})
+		in.sendToOwner(a.req, &peerpb.ClaimResult{Customer: a.req.Customer, Key: a.req.Key, RequestId: a.req.RequestId, NotRun: true})
 		return
 	}
-	in.toOwner(a.req, nil)
-	in.t.after(claimResend, func() { in.do(func() { in.askOwner(a) }) })
+	in.sendToOwner(a.req, nil)
+	in.t.after(claimResendInterval, func() { in.do(func() { in.askOwner(a) }) })
 }
 
-func (in *instance) toOwner(c *peerpb.Claim, res *peerpb.ClaimResult) {
+func (in *instance) sendToOwner(c *peerpb.Claim, res *peerpb.ClaimResult) {
 	owners := member.Owners(in.table.Alive(in.now()))
 	owner := claim.OwnerOf(c.Customer, c.Key, owners)
 	switch {
@@ -91,14 +91,14 @@
 	}
 }
 
-// retell tells the owners of ledgers of the claims that were granted here.
-func (in *instance) retell() {
-	due := in.granted.NextReclaims(in.now(), in.era)
+// sendReclaims sends grants of this instance that are due to the owners of their ledgers.
+func (in *instance) sendReclaims() {
+	reclaims := in.granted.NextReclaims(in.now(), in.era)
 	if in.t.o.Mutant == NoReclaim {
 		return
 	}
 	owners := member.Owners(in.table.Alive(in.now()))
-	for _, r := range due {
+	for _, r := range reclaims {
 		owner := claim.OwnerOf(r.Customer, r.Key, owners)
 		if owner == in.name {
 			in.claim(claim.Reclaimed{Claim: r})
@@ -125,19 +125,19 @@
 	}
 }
 
-// run is the execution of a claimed request at a backend server.
+// run executes a granted request at a backend server.
 func (t *Trial) run(a *attempt) {
 	a.key.runs++
 	t.Report.Granted++
-	t.Report.latency(t.now() - a.born)
+	t.Report.addLatency(t.now() - a.startedAt)
 	if a.key.runs > 1 {
-		t.Report.violate("runs at most once", "%s ran %d times", a.key.key, a.key.runs)
+		t.Report.recordViolation("runs at most once", "%s ran %d times", a.key.key, a.key.runs)
 	}
 	in := a.at
 	in.granted.Add(in.now(), a.req)
 	t.after(t.jitter(time.Second), func() {
 		in.do(func() {
-			in.toOwner(a.req, &peerpb.ClaimResult{Customer: a.req.Customer, Key: a.req.Key, RequestId: a.req.RequestId, Status: 200, Answer: []byte("ok")})
+			in.sendToOwner(a.req, &peerpb.ClaimResult{Customer: a.req.Customer, Key: a.req.Key, RequestId: a.req.RequestId, Status: 200, Answer: []byte("ok")})
 		})
 	})
 }
@@ -149,8 +149,8 @@
 	done    bool
 }
 
-// changeConfig lets one or two operators change the configuration against the
-// version that they see.
+// changeConfig has one or two operators change the configuration concurrently, each
+// on the condition that the version they read is still current.
 func (t *Trial) changeConfig() {
 	cur, err := confver.ReadPointer(context.Background(), t.store)
 	if err != nil {
@@ -163,27 +163,27 @@
 		var coded *result.Error
 		switch {
 		case err == nil:
-			t.confirm(v)
+			t.recordAccepted(v)
 		case errors.As(err, &coded) && coded.Code == result.ConfigConflict:
 			t.Report.Conflicts++
 		}
 	}
 }
 
-func (t *Trial) confirm(v uint64) {
+func (t *Trial) recordAccepted(v uint64) {
 	if v <= t.accepted {
-		t.Report.violate("accepted configuration never reverts", "version %d was accepted after %d", v, t.accepted)
+		t.Report.recordViolation("accepted configuration never reverts", "version %d was accepted after %d", v, t.accepted)
 	}
 	t.accepted = max(t.accepted, v)
 	t.changes = append(t.changes, &change{version: v, at: t.now()})
 }
 
-// pollStore is how often a watcher sees the store in the trial; a real watch
-// answers sooner.
-const pollEvery = 500 * time.Millisecond
+// pollInterval is how often a watcher reads the store in the trial; a real watch
+// returns sooner.
+const pollInterval = 500 * time.Millisecond
 
 func (in *instance) readConfig(owners []string) {
-	if in.now()%pollEvery >= tickEvery {
+	if in.now()%pollInterval >= tickInterval {
 		return
 	}
 	if !place.InTop(in.name, confver.WatchDuty, owners, 2) && in.holder.Version() > 0 {
@@ -210,21 +210,21 @@
 	}
 	in.holder.Adopt(version, content)
 	if in.holder.Version() < before {
-		in.t.Report.violate("accepted configuration never reverts", "%s went from %d to %d", in.name, before, in.holder.Version())
+		in.t.Report.recordViolation("accepted configuration never reverts", "%s went from %d to %d", in.name, before, in.holder.Version())
 	}
-	in.t.everywhere()
+	in.t.recordPropagation()
 }
 
-// everywhere notes the changes that every reachable instance has in force.
-func (t *Trial) everywhere() {
-	least := t.accepted
+// recordPropagation records the changes that every running instance has applied.
+func (t *Trial) recordPropagation() {
+	minVersion := t.accepted
 	for _, in := range t.instances {
-		if !in.dead && !in.paused && in.now() > settle {
-			least = min(least, in.holder.Version())
+		if !in.dead && !in.paused && in.now() > takeoverDelay {
+			minVersion = min(minVersion, in.holder.Version())
 		}
 	}
 	for _, c := range t.changes {
-		if !c.done && c.version <= least {
+		if !c.done && c.version <= minVersion {
 			c.done = true
 			t.Report.Propagation = append(t.Report.Propagation, t.now()-c.at)
 		}
--- a/lab/trial/store.go
+++ b/lab/trial/store.go
@@ -11,13 +11,13 @@
 	"github.com/auburnmoor/auburnmoor/port/objectapi"
 )
 
-// Store is an object API in memory that can be down, lose the reply of a write
-// that took effect, and answer reads with an older version.
+// Store is an in-memory object store with fault injection: it can be down, lose the
+// reply to a write that took effect, and answer reads with the previous version.
 type Store struct {
-	rand    *rand.Rand
-	objects map[string]objectapi.Object
-	older   map[string]objectapi.Object
-	version uint64
+	rand     *rand.Rand
+	objects  map[string]objectapi.Object
+	previous map[string]objectapi.Object
+	version  uint64
 
 	Down      bool
 	LoseReply float64
@@ -29,21 +29,21 @@
 	backup backup
 }
 
-// backup is a copy of the content.
+// backup is a snapshot of the content.
 type backup struct {
-	objects, older map[string]objectapi.Object
-	version        uint64
+	objects, previous map[string]objectapi.Object
+	version           uint64
 }
 
-// Copy keeps a copy of the content.
+// Copy takes a snapshot of the content, in place of the last one.
 func (s *Store) Copy() {
-	s.backup = backup{maps.Clone(s.objects), maps.Clone(s.older), s.version}
+	s.backup = backup{maps.Clone(s.objects), maps.Clone(s.previous), s.version}
 }
 
-// Restore brings the copy back and begins a new era: what was written since is gone, and
-// its versions are given out again.
+// Restore restores the snapshot and begins a new era: later writes are lost, and their
+// version numbers are assigned again.
 func (s *Store) Restore() {
-	s.objects, s.older, s.version = maps.Clone(s.backup.objects), maps.Clone(s.backup.older), s.backup.version
+	s.objects, s.previous, s.version = maps.Clone(s.backup.objects), maps.Clone(s.backup.previous), s.backup.version
 	s.era++
 }
 
@@ -52,7 +52,7 @@
 
 // NewStore returns an empty store.
 func NewStore(r *rand.Rand) *Store {
-	s := &Store{rand: r, objects: map[string]objectapi.Object{}, older: map[string]objectapi.Object{}, era: 1}
+	s := &Store{rand: r, objects: map[string]objectapi.Object{}, previous: map[string]objectapi.Object{}, era: 1}
 	s.Copy()
 	return s
 }
@@ -65,7 +65,7 @@
 	if s.Down {
 		return objectapi.Object{}, objectapi.ErrUnavailable
 	}
-	if old, ok := s.older[key]; ok && s.rand.Float64() < s.StaleRead {
+	if old, ok := s.previous[key]; ok && s.rand.Float64() < s.StaleRead {
 		return old, nil
 	}
 	o, ok := s.objects[key]
@@ -75,7 +75,7 @@
 	return o, nil
 }
 
-// Watch implements objectapi.Store; it does not wait.
+// Watch implements objectapi.Store. It returns at once.
 func (s *Store) Watch(ctx context.Context, key string, _ uint64, _ time.Duration) (objectapi.Object, error) {
 	return s.Get(ctx, key)
 }
@@ -91,7 +91,7 @@
 		if !strings.HasPrefix(k, prefix) {
 			continue
 		}
-		if old, ok := s.older[k]; ok && s.rand.Float64() < s.StaleRead {
+		if old, ok := s.previous[k]; ok && s.rand.Float64() < s.StaleRead {
 			o = old
 		}
 		out = append(out, o)
@@ -112,7 +112,7 @@
 	}
 	s.version++
 	if old.Version > 0 {
-		s.older[key] = old
+		s.previous[key] = old
 	}
 	s.objects[key] = objectapi.Object{Key: key, Version: s.version, Value: slices.Clone(value)}
 	if s.rand.Float64() < s.LoseReply {
--- a/lab/trial/trial.go
+++ b/lab/trial/trial.go
@@ -1,7 +1,7 @@
 // Package trial runs the state machines of a few instances around one fake
-// store in virtual time, injects faults and counts the violations of what must
-// always hold. It is a small loop over real decision code, not a simulator of
-// networks or processes.
+// store in virtual time, injects faults and counts violations of the system's
+// invariants. It is a small event loop over the real decision code, not a simulator
+// of networks or processes.
 package trial
 
 import (
@@ -20,53 +20,57 @@
 	"github.com/auburnmoor/auburnmoor/vtime"
 )
 
-// Options size a trial.
+// Options configure a trial.
 type Options struct {
 	Instances int
 	Seed      uint64
 	Duration  time.Duration
-	// FaultEvery is the mean time between faults; zero injects none.
+	// FaultEvery is the mean time between faults; zero disables them.
 	FaultEvery time.Duration
-	// ClaimEvery and ConfigEvery are the mean times between requests that may
-	// not be repeated and between changes of the configuration.
+	// ClaimEvery and ConfigEvery are the mean times between requests with an
+	// idempotency key and between configuration changes.
 	ClaimEvery, ConfigEvery time.Duration
-	// Mutant weakens one guard on purpose, to show that the trial notices.
+	// Mutant disables one guard, to show that the trial detects its absence.
 	Mutant Mutant
 }
 
-// Mutant names a guard to take out.
+// Mutant names a guard to disable.
 type Mutant string
 
 // The mutants.
 const (
-	// NoFence lets a new owner of a ledger skip the fencing write.
+	// NoFence disables the version check of ledger writes, so that a new owner
+	// of a ledger does not fence off the old one.
 	NoFence Mutant = "no-fence"
-	// NoPauseCheck lets a lease holder trust its last look at the clock.
+	// NoPauseCheck lets a former lease holder give orders without checking the
+	// clock again.
 	NoPauseCheck Mutant = "no-pause-check"
 	// AdoptAny lets an older configuration replace a newer one.
 	AdoptAny Mutant = "adopt-any"
-	// BlindRetry runs a claimed request again when its claim's reply is lost.
+	// BlindRetry makes an instance act on claim replies for requests that it has
+	// given up or has already run.
 	BlindRetry Mutant = "blind-retry"
-	// NoReclaim has instances not tell of their claims when the store lost some.
+	// NoReclaim stops instances from reclaiming their grants after the store lost
+	// some of them.
 	NoReclaim Mutant = "no-reclaim"
 )
 
-// Periods of the loop.
+// Intervals of the loop, and minimum latencies of the network and the store.
 const (
-	tickEvery  = 100 * time.Millisecond
-	linkDelay  = 2 * time.Millisecond
-	storeDelay = 5 * time.Millisecond
-	orderEvery = time.Second
+	tickInterval  = 100 * time.Millisecond
+	linkDelay     = 2 * time.Millisecond
+	storeDelay    = 5 * time.Millisecond
+	orderInterval = time.Second
 )
 
-// Trial is one run.
+// Trial is one simulated run.
 type Trial struct {
 	o         Options
 	rand      *rand.Rand
 	clock     vtime.Queue
 	store     *Store
 	instances []*instance
-	cut       map[[2]string]bool
+	cutLinks  map[[2]string]bool
 	engines   map[string]*enginecore.Core
 	fences    map[string]uint64
 	keys      map[string]*keyState
@@ -79,7 +83,7 @@
 func New(o Options) *Trial {
 	r := rand.New(rand.NewPCG(o.Seed, 3))
 	t := &Trial{
-		o: o, rand: r, store: NewStore(r), cut: map[[2]string]bool{}, engines: map[string]*enginecore.Core{},
+		o: o, rand: r, store: NewStore(r), cutLinks: map[[2]string]bool{}, engines: map[string]*enginecore.Core{},
 		fences: map[string]uint64{}, keys: map[string]*keyState{}, Report: newReport(),
 	}
 	for _, fencing := range []bool{true, false} {
@@ -96,12 +100,12 @@
 
 func (t *Trial) now() time.Duration { return t.clock.Now() }
 
-// jitter draws a time around mean.
+// jitter returns an exponentially distributed time.
 func (t *Trial) jitter(mean time.Duration) time.Duration {
 	return time.Duration(t.rand.ExpFloat64() * float64(mean))
 }
 
-// Run lets the trial pass and returns what it counted.
+// Run runs the trial to its end and returns its report.
 func (t *Trial) Run() Report {
 	for _, in := range t.instances {
 		t.startTicks(in)
@@ -126,8 +130,8 @@
 	t.after(t.jitter(mean), again)
 }
 
-// instance is one process: its machines, and what the operating system does to
-// it.
+// instance is one simulated process: its state machines, and the faults that
+// affect it.
 type instance struct {
 	t           *Trial
 	index       int
@@ -139,13 +143,13 @@
 	backlog     []func()
 	clockJump   time.Duration
 
-	table   *member.Table
-	claims  *claim.Machine
-	lease   *lease.Lease
-	holder  confver.Holder
-	orderAt time.Duration
-	looked  bool
-	// era is the store's newest era that the instance knows of.
+	table      *member.Table
+	claims     *claim.Machine
+	lease      *lease.Lease
+	holder     confver.Holder
+	nextOrder  time.Duration
+	wasAllowed bool
+	// era is the highest store era that the instance has seen.
 	era     uint64
 	granted claim.GrantLog
 }
@@ -164,7 +168,8 @@
 	return in
 }
 
-// do runs f on the instance: at once, when it wakes, or never.
+// do runs f on the instance: at once, on resumption if it is paused, or never if
+// it is dead.
 func (in *instance) do(f func()) {
 	switch {
 	case in.dead:
@@ -175,11 +180,11 @@
 	}
 }
 
-// now is the instance's monotonic clock.
+// now returns the instance's monotonic clock.
 func (in *instance) now() time.Duration { return in.t.now() - in.began }
 
-// unix is the instance's wall clock in seconds.
-func (in *instance) unix() int64 {
+// wallClock returns the instance's wall clock in Unix seconds.
+func (in *instance) wallClock() int64 {
 	return int64((time.Hour + in.t.now() + in.clockJump) / time.Second)
 }
 
@@ -192,13 +197,13 @@
 		if !in.paused {
 			in.tick()
 		}
-		t.after(tickEvery, tick)
+		t.after(tickInterval, tick)
 	}
-	t.after(time.Duration(t.rand.Int64N(int64(tickEvery))), tick)
+	t.after(time.Duration(t.rand.Int64N(int64(tickInterval))), tick)
 }
 
-// settle mirrors the delay before a fresh instance takes ledgers over.
-const settle = 2 * time.Second
+// takeoverDelay mirrors the delay before a new instance takes over ledgers.
+const takeoverDelay = 2 * time.Second
 
 func (in *instance) tick() {
 	for _, m := range in.table.Tick(in.now()) {
@@ -206,11 +211,11 @@
 		in.send(m.To, &peerpb.Envelope{Body: &peerpb.Envelope_Gossip{Gossip: m.Gossip}})
 	}
 	owners := member.Owners(in.table.Alive(in.now()))
-	if in.now() > settle {
+	if in.now() > takeoverDelay {
 		in.claim(claim.ShardsOwnedBy(in.name, owners))
 	}
 	in.claim(claim.EraReported{Era: in.era})
-	in.retell()
+	in.sendReclaims()
 	in.claim(claim.Tick{})
 	in.lease.SetEligible(true)
 	in.leaseStep(lease.Tick{})
@@ -220,7 +225,7 @@
 
 func (in *instance) send(to string, env *peerpb.Envelope) {
 	t := in.t
-	if t.cut[[2]string{in.name, to}] {
+	if t.cutLinks[[2]string{in.name, to}] {
 		return
 	}
 	env.From = in.name
@@ -258,8 +263,8 @@
 	}
 }
 
-// call makes a call to the store whose answer arrives later; the write itself
-// takes effect half-way.
+// call makes an asynchronous call to the store: f takes effect after one delay, and
+// its reply arrives after another.
 func (in *instance) call(f func() func()) {
 	t := in.t
 	t.after(storeDelay+t.jitter(storeDelay), func() {
@@ -293,25 +298,25 @@
 
 const leaseKey = "lease/orders"
 
-// order gives an order to each engine if the lease allows it.
+// order sends an order to each engine if the lease allows it.
 func (in *instance) order() {
-	may := in.lease.MayOrder(in.now())
+	allowed := in.lease.MayOrder(in.now())
 	if in.t.o.Mutant == NoPauseCheck {
-		may = may || in.looked
-		in.looked = in.lease.MayOrder(in.now()) || in.looked && in.lease.Fence() > 0
+		allowed = allowed || in.wasAllowed
+		in.wasAllowed = in.lease.MayOrder(in.now()) || in.wasAllowed && in.lease.Fence() > 0
 	}
-	if !may || in.now() < in.orderAt {
+	if !allowed || in.now() < in.nextOrder {
 		return
 	}
-	in.orderAt = in.now() + orderEvery
+	in.nextOrder = in.now() + orderInterval
 	fence := in.lease.Fence()
 	for _, name := range []string{"engine-fencing-true", "engine-fencing-false"} {
-		in.t.after(in.t.jitter(100*time.Millisecond), func() { in.t.ordered(name, fence) })
+		in.t.after(in.t.jitter(100*time.Millisecond), func() { in.t.deliverOrder(name, fence) })
 	}
 }
 
-// ordered is the arrival of an order at an engine.
-func (t *Trial) ordered(name string, fence uint64) {
+// deliverOrder executes an order at an engine and checks its fencing number.
+func (t *Trial) deliverOrder(name string, fence uint64) {
 	t.Report.Orders++
 	err := t.engines[name].Order(t.now(), engine.Order{Kind: engine.OrderLoad, Target: "m", Fence: fence})
 	if err != nil {
@@ -319,13 +324,13 @@
 		return
 	}
 	if fence < t.fences[name] {
-		t.Report.violate("orders from one holder at a time", "%s took fence %d after %d", name, fence, t.fences[name])
+		t.Report.recordViolation("orders from one holder at a time", "%s accepted fence %d after %d", name, fence, t.fences[name])
 	}
 	t.fences[name] = max(t.fences[name], fence)
 }
 
 func (in *instance) claim(ev claim.Event) {
-	for _, a := range in.claims.Step(in.now(), in.unix(), ev) {
+	for _, a := range in.claims.Step(in.now(), in.wallClock(), ev) {
 		switch a := a.(type) {
 		case claim.Reply:
 			if a.To == in.name {
--- a/lab/trial/trial_test.go
+++ b/lab/trial/trial_test.go
@@ -23,10 +23,10 @@
 	}
 }
 
-// TestPromisesProperty draws fleets, rates of faults and seeds; no promise may
-// be broken by kills, pauses, cuts, outages, lost replies, stale reads and
-// clock jumps, one or two at once.
-func TestPromisesProperty(t *testing.T) {
+// TestInvariantsProperty draws fleet sizes, fault rates and seeds. No invariant may
+// be violated by kills, pauses, partitions, store outages and rollbacks, lost replies,
+// stale reads and clock jumps.
+func TestInvariantsProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := options(rapid.IntRange(3, 9).Draw(t, "instances"), uint64(rapid.IntRange(1, 1<<20).Draw(t, "seed")))
 		o.Duration = time.Minute
@@ -39,13 +39,13 @@
 }
 
 var _ = Describe("a trial", func() {
-	It("is the same every time with the same seed", func() {
+	It("is deterministic for a seed", func() {
 		a, b := trial.New(options(5, 3)).Run(), trial.New(options(5, 3)).Run()
 		Expect(a.Granted).To(Equal(b.Granted))
 		Expect(a.Writes).To(Equal(b.Writes))
 	})
 
-	It("puts every change into force everywhere within seconds while nothing fails", func() {
+	It("propagates every change to all instances within seconds while nothing fails", func() {
 		o := options(9, 1)
 		o.FaultEvery = 0
 		r := trial.New(o).Run()
@@ -54,24 +54,24 @@
 		Expect(trial.Quantile(r.Propagation, 0.99)).To(BeNumerically("<=", 2*time.Second))
 	})
 
-	// Each guard is taken out in turn; a trial that did not notice would prove
-	// nothing.
-	DescribeTable("notices that a guard is missing",
-		func(m trial.Mutant, promise string) {
-			broken := 0
+	// Mutation test: each guard is disabled in turn, and the trial must report violations
+	// of the invariant that depends on it.
+	DescribeTable("detects that a guard is missing",
+		func(m trial.Mutant, invariant string) {
+			violations := 0
 			for seed := range uint64(4) {
 				o := options(5, seed+1)
 				o.Duration = 5 * time.Minute
 				o.Mutant = m
 				r := trial.New(o).Run()
-				broken += r.Violations[promise]
+				violations += r.Violations[invariant]
 			}
-			Expect(broken).To(BeNumerically(">", 0))
+			Expect(violations).To(BeNumerically(">", 0))
 		},
 		Entry("the fencing write of a ledger", trial.NoFence, "runs at most once"),
-		Entry("the look at the clock before an order", trial.NoPauseCheck, "orders from one holder at a time"),
+		Entry("checking the clock before an order", trial.NoPauseCheck, "orders from one holder at a time"),
 		Entry("adopting only newer versions", trial.AdoptAny, "accepted configuration never reverts"),
-		Entry("telling of claims that the store lost", trial.NoReclaim, "runs at most once"),
-		Entry("ignoring a grant that comes after giving up", trial.BlindRetry, "runs at most once"),
+		Entry("reclaiming grants that the store lost", trial.NoReclaim, "runs at most once"),
+		Entry("ignoring a grant that arrives after giving up", trial.BlindRetry, "runs at most once"),
 	)
 })
