--- a/lab/trial/requests.go
+++ b/lab/trial/requests.go
@@ -39,11 +39,11 @@
 	k := &keyState{key: fmt.Sprintf("key-%d", t.Report.Requests)}
 	t.keys[k.key] = k
 	for i := range repeatsPerKey {
-		t.after(time.Duration(i)*t.jitter(time.Second), func() { t.sendClaim(k, i) })
+		t.after(time.Duration(i)*t.jitter(time.Second), func() { t.startAttempt(k, i) })
 	}
 }
 
-func (t *Trial) sendClaim(k *keyState, n int) {
+func (t *Trial) startAttempt(k *keyState, n int) {
 	in := t.instances[t.rand.IntN(len(t.instances))]
 	if in.dead || in.paused {
 		return
