--- a/lab/passes/instance.go
+++ b/lab/passes/instance.go
@@ -8,55 +8,56 @@
 )
 
 const (
-	// lookAgain is the mean time after which an instance places a request again
-	// that it holds back.
-	lookAgain = 15 * time.Millisecond
-	// gatherFor is how long an instance gathers changes into one report.
-	gatherFor = 2 * time.Millisecond
-	// comeBack is when a client returns that was refused for want of room.
-	comeBack = 2500 * time.Millisecond
-	// comeBackShare of its remaining time is the most that a client waits.
-	comeBackShare = 1.0 / 3
+	// meanRetryDelay is the mean time after which an instance tries again to place a
+	// request that is on hold.
+	meanRetryDelay = 15 * time.Millisecond
+	// gatherDelay is how long an instance batches changes into one report.
+	gatherDelay = 2 * time.Millisecond
+	// clientRetryDelay is when a client retries that was refused for lack of capacity.
+	clientRetryDelay = 2500 * time.Millisecond
+	// maxRetryShare is the share of its remaining time that a client waits at most.
+	maxRetryShare = 1.0 / 3
 )
 
-// attempt is what an instance knows of a request that it placed.
+// attempt is the state that an instance keeps of a request.
 type attempt struct {
 	at   *instance
 	plan spread.Plan
-	// came is when the request reached the instance.
-	came time.Duration
-	// unread counts the parts that are still being read.
-	unread int
-	// context is the length of the prompt at the engine that writes.
+	// receivedAt is when the request reached the instance.
+	receivedAt time.Duration
+	// unreadParts counts the parts whose prefill is not complete.
+	unreadParts int
+	// context is the number of prompt tokens on the engine that decodes.
 	context int64
-	// waitedFor is why it was last held back.
-	waitedFor spread.Reason
-	// avoid are the engines that did not grant memory.
+	// holdReason is why it was last put on hold.
+	holdReason spread.Reason
+	// avoid are the engines that refused to reserve memory.
 	avoid []string
 }
 
-// instance is one entry instance.
+// instance simulates one entry instance.
 type instance struct {
 	*world
 	name   string
 	ledger *spread.Ledger
 	queue  *spread.Queue
-	// dirty tells that a report is being gathered.
-	dirty bool
+	// reportPending is set while a report is scheduled.
+	reportPending bool
 }
 
 func newInstance(w *world, i int) *instance {
 	return &instance{world: w, name: fmt.Sprintf("i%03d", i), ledger: spread.NewLedger(), queue: spread.NewQueue()}
 }
 
-// changed has the others told of this instance's work a little later.
-func (n *instance) changed() {
-	if n.dirty {
+// scheduleReport sends this instance's state to its peers after gatherDelay, unless
+// that is already scheduled.
+func (n *instance) scheduleReport() {
+	if n.reportPending {
 		return
 	}
-	n.dirty = true
-	n.After(gatherFor, func() {
-		n.dirty = false
+	n.reportPending = true
+	n.After(gatherDelay, func() {
+		n.reportPending = false
 		n.reports++
 		loads := n.ledger.TakeChanged(n.Now())
 		waiting := n.queue.TakeState(n.Now())
@@ -71,102 +72,102 @@
 	})
 }
 
-func (n *instance) arrive(q *request) {
-	q.at, q.came = n, n.Now()
+func (n *instance) receiveRequest(q *request) {
+	q.at, q.receivedAt = n, n.Now()
 	n.place(q)
 }
 
-// place sends a request to engines, holds it back or refuses it.
+// place sends a request to engines, puts it on hold or refuses it.
 func (n *instance) place(q *request) {
 	if n.Now()-q.arrived > q.kind.Deadline.Std() {
 		q.result.GivenUp++
-		n.hold(q, spread.Turn{}, false)
+		n.setOnHold(q, spread.Turn{}, false)
 		return
 	}
 	n.ledger.Advance(n.Now())
-	waited, useful := n.Now()-q.came, q.kind.First.Std()
-	turn := spread.NewTurn(n.spec, q.id, q.prompt, q.came, useful)
+	waited, firstTarget := n.Now()-q.receivedAt, q.kind.First.Std()
+	turn := spread.NewTurn(n.spec, q.id, q.prompt, q.receivedAt, firstTarget)
 	left := q.kind.Deadline.Std() - (n.Now() - q.arrived)
 	plan, verdict := spread.Choose(n.spec, n.servers, n.ledger.Total, spread.Request{
 		Instance: n.name, FleetSize: len(n.servers), Avoid: q.avoid,
 		Prompt: q.prompt, Answer: n.spec.MeanAnswerTokens,
-		FirstTarget: useful, GapTarget: q.kind.Pause.Std(), TightestGap: n.tightest,
-		Waited: waited, MaxHold: spread.MaxHold(useful, left+waited), TimeLeft: left,
+		FirstTarget: firstTarget, GapTarget: q.kind.Pause.Std(), TightestGap: n.minPause,
+		Waited: waited, MaxHold: spread.MaxHold(firstTarget, left+waited), TimeLeft: left,
 		MustWait: n.queue.MustWait(n.Now(), turn), SlotWaiters: n.queue.SlotWaiters(n.Now()), Draw: n.rand.Float64(),
 	})
-	n.hold(q, turn, verdict == spread.Hold)
+	n.setOnHold(q, turn, verdict == spread.Hold)
 	switch verdict {
 	case spread.Placed:
 		n.send(q, plan)
 	case spread.Hold:
-		q.waitedFor = plan.Reason
-		n.After(time.Duration(n.rand.Int64N(int64(2*lookAgain))), func() { n.place(q) })
+		q.holdReason = plan.Reason
+		n.After(time.Duration(n.rand.Int64N(int64(2*meanRetryDelay))), func() { n.place(q) })
 	default:
 		n.refuse(q)
 	}
 }
 
-// deep reports whether a request's prompt takes its turn.
+// deep reports whether a request is deep, so that it has to wait for its turn.
 func (n *instance) deep(q *request) bool {
 	return spread.Deep(n.spec, q.prompt, n.spec.MeanAnswerTokens)
 }
 
-// hold has the others know whether a request waits here.
-func (n *instance) hold(q *request, t spread.Turn, waits bool) {
-	tell := n.queue.Update(n.Now(), func(held *spread.Queue) {
+// setOnHold records whether a request is on hold here, and reports it to the peers.
+func (n *instance) setOnHold(q *request, t spread.Turn, onHold bool) {
+	report := n.queue.Update(n.Now(), func(queue *spread.Queue) {
 		switch {
-		case n.deep(q) && waits:
-			held.Hold(t)
+		case n.deep(q) && onHold:
+			queue.Hold(t)
 		case n.deep(q):
-			held.Release(q.id)
-		case waits && !q.waits:
-			held.WaitForSlot(1)
-		case q.waits && !waits:
-			held.WaitForSlot(-1)
+			queue.Release(q.id)
+		case onHold && !q.onHold:
+			queue.WaitForSlot(1)
+		case q.onHold && !onHold:
+			queue.WaitForSlot(-1)
 		}
 	})
-	q.waits = waits
-	if tell {
-		n.changed()
+	q.onHold = onHold
+	if report {
+		n.scheduleReport()
 	}
 }
 
-// refuse turns a request away; its client comes back once if it has the time.
+// refuse refuses a request; its client retries once if it has enough time left.
 func (n *instance) refuse(q *request) {
 	left := q.kind.Deadline.Std() - (n.Now() - q.arrived)
-	if q.refused || comeBack > time.Duration(comeBackShare*float64(left)) {
+	if q.retried || clientRetryDelay > time.Duration(maxRetryShare*float64(left)) {
 		q.result.Refused++
-		q.result.RefusedAfter[q.waitedFor]++
+		q.result.RefusedAfter[q.holdReason]++
 		return
 	}
-	q.refused = true
+	q.retried = true
 	other := n.instances[n.rand.IntN(len(n.instances))]
-	n.After(comeBack, func() { other.arrive(q) })
+	n.After(clientRetryDelay, func() { other.receiveRequest(q) })
 }
 
-// send places a request as planned. Memory that is not granted has it placed
-// again without the engine that refused.
+// send sends a request to the engines of its plan. If one of them refuses to reserve
+// memory, the request is placed again without that engine.
 func (n *instance) send(q *request, plan spread.Plan) {
 	for _, p := range plan.Parts {
 		if p.Reserve > 0 && !n.engines[p.Server.ID].reserve(q, p.Reserve) {
-			n.dropAll(q, plan)
+			n.dropParts(q, plan)
 			q.avoid = append(q.avoid, p.Server.ID)
 			n.After(2*n.load.Hop.Std(), func() { n.place(q) })
 			return
 		}
 	}
-	q.plan, q.unread, q.last = plan, len(plan.Parts), n.Now()
+	q.plan, q.unreadParts, q.last = plan, len(plan.Parts), n.Now()
 	each := q.prompt / int64(len(plan.Parts))
 	q.context = max(each, q.prompt-reserved(plan))
 	for i, p := range plan.Parts {
 		plan.Parts[i].Recorded = n.ledger.Place(n.Now(), p)
 	}
-	n.After(n.load.Hop.Std(), func() { n.world.arrive(q) })
-	n.changed()
+	n.After(n.load.Hop.Std(), func() { n.world.enqueueRequest(q) })
+	n.scheduleReport()
 	n.watch(q)
 }
 
-func (n *instance) dropAll(q *request, plan spread.Plan) {
+func (n *instance) dropParts(q *request, plan spread.Plan) {
 	for _, p := range plan.Parts {
 		n.engines[p.Server.ID].drop(q)
 	}
@@ -182,7 +183,7 @@
 	return sum
 }
 
-// firstEvent ends the reading of the prompt at all engines.
+// firstEvent removes the prefill phase of the request from the ledger.
 func (n *instance) firstEvent(q *request) {
 	for i := range q.plan.Parts {
 		p := &q.plan.Parts[i]
@@ -191,17 +192,17 @@
 		n.ledger.Sub(p.Server.ID, begun)
 		p.Load = p.Load.Minus(begun)
 	}
-	n.changed()
+	n.scheduleReport()
 }
 
 func (n *instance) end(q *request) {
-	q.over = true
+	q.ended = true
 	n.firstEvent(q)
 	for i := range q.plan.Parts {
 		p := &q.plan.Parts[i]
 		n.ledger.Sub(p.Server.ID, p.Load.DecodePhase())
 		p.Load = spread.Load{}
 	}
-	n.dropAll(q, q.plan)
-	n.changed()
+	n.dropParts(q, q.plan)
+	n.scheduleReport()
 }
--- a/lab/passes/result.go
+++ b/lab/passes/result.go
@@ -12,54 +12,54 @@
 	"github.com/auburnmoor/auburnmoor/decide/spread"
 )
 
-// window is the length of the spans by which the worst seconds are told.
+// window is the length of the spans of a run whose values are compared.
 const window = 4 * time.Second
 
 // worstWindows is the number of windows in Summary.Worst.
 const worstWindows = 2
 
-// value is what answers could have earned and did.
-type value struct{ Owed, Earned float64 }
+// value is the total value of the requests, and the part earned by their answers.
+type value struct{ Offered, Earned float64 }
 
 func (v value) share() float64 {
-	if v.Owed == 0 {
+	if v.Offered == 0 {
 		return 1
 	}
-	return v.Earned / v.Owed
+	return v.Earned / v.Offered
 }
 
-func (v *value) add(o value) { v.Owed, v.Earned = v.Owed+o.Owed, v.Earned+o.Earned }
+func (v *value) add(o value) { v.Offered, v.Earned = v.Offered+o.Offered, v.Earned+o.Earned }
 
-// Result is what callers of one kind got.
+// Result holds the outcomes of the requests of one kind.
 type Result struct {
 	Kind                string
 	Asked, InTime, Late int
 	Refused, GivenUp    int
-	// RefusedAfter counts the refused ones by what they last waited for.
+	// RefusedAfter counts refused requests by the reason they were last put on hold.
 	RefusedAfter               map[spread.Reason]int
 	Value                      value
 	FirstP50, FirstP99, GapP99 time.Duration
-	// Largest and Large are the shares answered, in time or late, of the largest tenth
-	// of the prompts and of the fifth below it.
+	// Largest and Large are the shares of requests answered, in time or late, among the
+	// largest tenth of the prompts and the fifth below it.
 	Largest, Large float64
 	firsts, gaps   []time.Duration
-	fates          []fate
+	outcomes       []outcome
 }
 
-// fate is the length of a prompt and whether its answer was whole.
-type fate struct {
+// outcome is the length of a prompt and whether its answer was complete.
+type outcome struct {
 	prompt   int64
 	answered bool
 }
 
-// Shares of a kind's prompts that are told apart, the longest first. Whoever places
-// by what is cheapest serves the large ones last; the mean of a kind hides it.
+// Shares of a kind's prompts that are reported separately, the longest first. A
+// placement by lowest cost starves large prompts, which the mean of a kind hides.
 const (
 	largestShare = 0.1
 	largeShare   = 0.2
 )
 
-// Answered is the share of the requests whose answer was whole.
+// Answered returns the share of the requests whose answer was complete.
 func (r Result) Answered() float64 {
 	if r.Asked == 0 {
 		return 1
@@ -67,28 +67,28 @@
 	return float64(r.InTime+r.Late) / float64(r.Asked)
 }
 
-// sizes sets the shares of the large prompts.
-func (r *Result) sizes() {
-	slices.SortFunc(r.fates, func(a, b fate) int { return cmp.Compare(b.prompt, a.prompt) })
-	n := float64(len(r.fates))
+// setLargeShares sets Largest and Large from the outcomes.
+func (r *Result) setLargeShares() {
+	slices.SortFunc(r.outcomes, func(a, b outcome) int { return cmp.Compare(b.prompt, a.prompt) })
+	n := float64(len(r.outcomes))
 	first, second := int(largestShare*n), int((largestShare+largeShare)*n)
-	r.Largest, r.Large = answered(r.fates[:first]), answered(r.fates[first:second])
+	r.Largest, r.Large = answered(r.outcomes[:first]), answered(r.outcomes[first:second])
 }
 
-func answered(fates []fate) float64 {
-	if len(fates) == 0 {
+func answered(outcomes []outcome) float64 {
+	if len(outcomes) == 0 {
 		return 1
 	}
 	whole := 0
-	for _, f := range fates {
+	for _, f := range outcomes {
 		if f.answered {
 			whole++
 		}
 	}
-	return float64(whole) / float64(len(fates))
+	return float64(whole) / float64(len(outcomes))
 }
 
-// Share is the earned part of the value owed.
+// Share returns the share of the offered value that was earned.
 func (r Result) Share() float64 { return r.Value.share() }
 
 func (r *Result) add(o Result) {
@@ -96,9 +96,9 @@
 	r.Refused, r.GivenUp = r.Refused+o.Refused, r.GivenUp+o.GivenUp
 	r.Value.add(o.Value)
 	r.firsts, r.gaps = append(r.firsts, o.firsts...), append(r.gaps, o.gaps...)
-	r.fates = append(r.fates, o.fates...)
-	for why, n := range o.RefusedAfter {
-		r.RefusedAfter[why] += n
+	r.outcomes = append(r.outcomes, o.outcomes...)
+	for reason, n := range o.RefusedAfter {
+		r.RefusedAfter[reason] += n
 	}
 }
 
@@ -114,19 +114,19 @@
 	return v[min(len(v)-1, int(p*float64(len(v))))]
 }
 
-// Summary is what a run, or several, gave.
+// Summary holds the results of one or more runs of a load.
 type Summary struct {
 	Load  string
 	Kinds []Result
-	// Whole is the share of the value that was earned, Worst that of the worst
-	// windows, and WorstKind that of the worst kind; means over the runs.
+	// Whole is the share of the offered value that was earned, Worst the share in the
+	// worst windows, and WorstKind that of the worst kind; means over the runs.
 	Whole, Worst, WorstKind float64
-	// Reports is how often a second an instance tells its peers of its work.
+	// Reports is the number of reports per second that an instance sends to its peers.
 	Reports float64
 	runs    int
 }
 
-// Score is the mean of the three shares.
+// Score returns the mean of the three shares.
 func (s Summary) Score() float64 { return (s.Whole + s.Worst + s.WorstKind) / 3 }
 
 // Kind returns the result of one kind.
@@ -139,13 +139,13 @@
 	return Result{Kind: name}
 }
 
-// summarize sums one run up. A window counts by the requests that arrived in it.
+// summarize summarizes one run. A request counts in the window of its arrival.
 func summarize(load string, kinds []*Result, windows []value) Summary {
 	s := Summary{Load: load, WorstKind: 1, runs: 1}
 	var whole value
 	for _, r := range kinds {
 		r.percentiles()
-		r.sizes()
+		r.setLargeShares()
 		s.Kinds = append(s.Kinds, *r)
 		whole.add(r.Value)
 		s.WorstKind = min(s.WorstKind, r.Share())
@@ -163,7 +163,7 @@
 	return s
 }
 
-// Merge puts the runs of one load together.
+// Merge combines the runs of one load.
 func Merge(runs []Summary) Summary {
 	out := Summary{Load: runs[0].Load}
 	for i := range runs[0].Kinds {
@@ -172,7 +172,7 @@
 			sum.add(r.Kinds[i])
 		}
 		sum.percentiles()
-		sum.sizes()
+		sum.setLargeShares()
 		out.Kinds = append(out.Kinds, sum)
 	}
 	for _, r := range runs {
@@ -187,12 +187,12 @@
 	return out
 }
 
-// refusedAfter renders RefusedAfter.
+// refusedAfter formats RefusedAfter.
 func (r Result) refusedAfter() string {
 	var out []string
-	for why := range spread.NumReasons {
-		if n := r.RefusedAfter[why]; n > 0 {
-			out = append(out, fmt.Sprintf("%s %d", why, n))
+	for reason := range spread.NumReasons {
+		if n := r.RefusedAfter[reason]; n > 0 {
+			out = append(out, fmt.Sprintf("%s %d", reason, n))
 		}
 	}
 	return strings.Join(out, ", ")
@@ -210,20 +210,20 @@
 	return w.Flush()
 }
 
-// WriteLines prints a line for each summary and one for their mean.
+// WriteLines prints one line for each summary and one for their mean.
 func WriteLines(out io.Writer, all []Summary) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "LOAD\tWHOLE\tWORST WINDOWS\tWORST KIND\tSCORE")
 	mean := Summary{Load: "mean"}
 	for _, s := range all {
-		line(w, s)
+		writeLine(w, s)
 		n := float64(len(all))
 		mean.Whole, mean.Worst, mean.WorstKind = mean.Whole+s.Whole/n, mean.Worst+s.Worst/n, mean.WorstKind+s.WorstKind/n
 	}
-	line(w, mean)
+	writeLine(w, mean)
 	return w.Flush()
 }
 
-func line(w io.Writer, s Summary) {
+func writeLine(w io.Writer, s Summary) {
 	fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.3f\t%.3f\n", s.Load, s.Whole, s.Worst, s.WorstKind, s.Score())
 }
--- a/lab/passes/run.go
+++ b/lab/passes/run.go
@@ -1,7 +1,7 @@
-// Package passes plays loads against the placing of decide/spread in virtual
-// time. Its engines follow the published formula of a pass: all waiting reading
-// up to a chunk a step, and a stride of token steps when an engine writes. Each
-// instance decides by its own view, to which the others' reports come late.
+// Package passes simulates workloads on the placement of decide/spread in virtual
+// time. Its engines follow the published cost formula of a pass: prefill of waiting
+// prompts up to a chunk per step, and a stride of steps when requests are in decode.
+// Each instance decides by its own view, which peer reports update with a delay.
 package passes
 
 import (
@@ -19,11 +19,11 @@
 	"github.com/auburnmoor/auburnmoor/vtime"
 )
 
-// drainFor is how long requests may go on after the last arrival; the longest
-// deadline is shorter.
-const drainFor = 20 * time.Second
+// drainTime is how long a run continues after the last arrival. It exceeds the
+// longest deadline.
+const drainTime = 20 * time.Second
 
-// request is one client's request on its way through a run.
+// request is the state of one client's request during a run.
 type request struct {
 	attempt
 	id      string
@@ -33,23 +33,23 @@
 	arrived time.Duration
 	prompt  int64
 	events  int
-	// refused tells that it was turned away once; its client comes back once.
-	refused bool
-	// waits tells that its instance holds it back.
-	waits bool
-	// sent counts the events that reached the client; last is when.
+	// retried is set after the first refusal; a client retries only once.
+	retried bool
+	// onHold is set while its instance holds it back.
+	onHold bool
+	// sent counts the events sent to the client; last is the time of the last one.
 	sent       int
 	last       time.Duration
 	first, gap time.Duration
-	over       bool
-	// answered tells that the answer was whole.
+	ended      bool
+	// answered is set when the answer is complete.
 	answered bool
 }
 
-// held is the memory of the request at the engine that writes its answer.
-func (q *request) held() int64 { return q.context + int64(q.sent)*int64(q.at.spec.StepsPerPass) }
+// kvTokens returns the memory in tokens of the request on the engine that decodes.
+func (q *request) kvTokens() int64 { return q.context + int64(q.sent)*int64(q.at.spec.StepsPerPass) }
 
-// world is a run in progress.
+// world is the state of a run.
 type world struct {
 	vtime.Queue
 	load      Load
@@ -58,17 +58,17 @@
 	engines   map[string]*engine
 	instances []*instance
 	rand      *rand.Rand
-	// tightest is the shortest useful pause of all kinds.
-	tightest time.Duration
+	// minPause is the shortest Pause of all kinds.
+	minPause time.Duration
 	windows  []value
-	// reports counts what instances told all of their peers.
+	// reports counts the reports that instances sent to all of their peers.
 	reports int
-	// asked are all requests of the run.
-	asked []*request
+	// requests are all requests of the run.
+	requests []*request
 }
 
-// Run plays a load for a length of virtual time, with its rates times rate. The
-// same seed gives the same result.
+// Run simulates a load for a length of virtual time, with its arrival rates
+// multiplied by rate. It is deterministic for a seed.
 func Run(l Load, seed uint64, length time.Duration, rate float64) Summary {
 	w := &world{load: l, spec: l.Engines.spec(), engines: map[string]*engine{}, rand: rand.New(rand.NewPCG(seed, math.MaxUint64))}
 	for i := range l.Engines.Count {
@@ -79,9 +79,9 @@
 	for i := range l.Instances {
 		w.instances = append(w.instances, newInstance(w, i))
 	}
-	w.tightest = l.Kinds[0].Pause.Std()
+	w.minPause = l.Kinds[0].Pause.Std()
 	for _, k := range l.Kinds {
-		w.tightest = min(w.tightest, k.Pause.Std())
+		w.minPause = min(w.minPause, k.Pause.Std())
 	}
 	w.windows = make([]value, int((length+window-1)/window))
 	var results []*Result
@@ -90,28 +90,28 @@
 		results = append(results, res)
 		w.arrivals(&l.Kinds[i], res, rand.New(rand.NewPCG(seed, uint64(i))), length, rate)
 	}
-	w.RunUntil(length+drainFor, vtime.Always)
-	for _, q := range w.asked {
-		q.result.fates = append(q.result.fates, fate{prompt: q.prompt, answered: q.answered})
+	w.RunUntil(length+drainTime, vtime.Always)
+	for _, q := range w.requests {
+		q.result.outcomes = append(q.result.outcomes, outcome{prompt: q.prompt, answered: q.answered})
 	}
 	s := summarize(l.Name, results, w.windows)
 	s.Reports = float64(w.reports) / float64(l.Instances) / length.Seconds()
 	return s
 }
 
-// arrivals draws the requests of a kind. They come at the highest rate and are
-// thinned to that of their span.
+// arrivals draws the requests of a kind: a Poisson process at the peak rate, thinned
+// to the rate of each span.
 func (w *world) arrivals(k *Kind, res *Result, r *rand.Rand, length time.Duration, rate float64) {
-	most := slices.Max(k.Bursts)
-	if k.PerSecond*most <= 0 {
+	peak := slices.Max(k.Bursts)
+	if k.PerSecond*peak <= 0 {
 		return
 	}
 	for t := time.Duration(0); ; {
-		t += time.Duration(r.ExpFloat64() / (k.PerSecond * rate * most) * float64(time.Second))
+		t += time.Duration(r.ExpFloat64() / (k.PerSecond * rate * peak) * float64(time.Second))
 		if t >= length {
 			return
 		}
-		if r.Float64() > k.Bursts[int(time.Duration(len(k.Bursts))*t/length)]/most {
+		if r.Float64() > k.Bursts[int(time.Duration(len(k.Bursts))*t/length)]/peak {
 			continue
 		}
 		q := &request{
@@ -119,39 +119,39 @@
 			prompt: max(40, int64(draw(r, k.Prompt))), events: max(1, int(draw(r, k.Events))),
 		}
 		at := w.instances[r.IntN(len(w.instances))]
-		w.asked = append(w.asked, q)
+		w.requests = append(w.requests, q)
 		w.At(t, func() {
 			res.Asked++
-			w.owe(q)
-			at.arrive(q)
+			w.addOffered(q)
+			at.receiveRequest(q)
 		})
 	}
 }
 
-// draw returns a log-normal length of the given mean.
+// draw returns a log-normal length with the mean of l, capped at its maximum.
 func draw(r *rand.Rand, l Length) float64 {
-	return min(l.Most, l.Mean*math.Exp(l.Spread*r.NormFloat64()-l.Spread*l.Spread/2))
+	return min(l.Max, l.Mean*math.Exp(l.Sigma*r.NormFloat64()-l.Sigma*l.Sigma/2))
 }
 
-func (w *world) owe(q *request) {
-	v := value{Owed: q.kind.worth(q.prompt, q.kind.Worth)}
+func (w *world) addOffered(q *request) {
+	v := value{Offered: q.kind.valueOf(q.prompt, q.kind.AnswerValue)}
 	q.result.Value.add(v)
 	w.windows[q.window].add(v)
 }
 
-func (w *world) earn(q *request, base float64) {
-	v := value{Earned: q.kind.worth(q.prompt, base)}
+func (w *world) addEarned(q *request, base float64) {
+	v := value{Earned: q.kind.valueOf(q.prompt, base)}
 	q.result.Value.add(v)
 	w.windows[q.window].add(v)
 }
 
-// pass starts a pass at an engine that is idle.
-func (w *world) pass(id string) {
+// startPass starts a pass on an engine that is idle and has work.
+func (w *world) startPass(id string) {
 	e := w.engines[id]
 	if e.busy {
 		return
 	}
-	length, work := e.begin()
+	length, work := e.beginPass()
 	if !work {
 		return
 	}
@@ -162,19 +162,19 @@
 		for _, q := range writers {
 			w.emit(q)
 		}
-		e.writers = slices.DeleteFunc(e.writers, func(q *request) bool { return q.over || q.sent >= q.events })
-		for _, p := range e.read {
-			w.partRead(p.req)
+		e.writers = slices.DeleteFunc(e.writers, func(q *request) bool { return q.ended || q.sent >= q.events })
+		for _, p := range e.finishedParts {
+			w.finishPart(p.req)
 		}
-		w.write(id)
+		w.startDecoding(id)
 		w.admit(id)
-		w.pass(id)
+		w.startPass(id)
 	})
 }
 
-// arrive hands an engine a request that it is to answer.
-func (w *world) arrive(q *request) {
-	if q.over {
+// enqueueRequest adds a request to the queue of the engine that is to answer it.
+func (w *world) enqueueRequest(q *request) {
+	if q.ended {
 		return
 	}
 	id := q.plan.Writer().ID
@@ -182,41 +182,41 @@
 	w.admit(id)
 }
 
-// admit has the prompts read for which an engine has memory.
+// admit starts the prefill of the prompts for which an engine has memory.
 func (w *world) admit(id string) {
 	for _, q := range w.engines[id].admit() {
 		each := max(1, q.prompt/int64(len(q.plan.Parts)))
 		for i, p := range q.plan.Parts {
 			w.engines[p.Server.ID].add(&part{req: q, left: each, helper: i > 0})
-			w.pass(p.Server.ID)
+			w.startPass(p.Server.ID)
 		}
 	}
 }
 
-// partRead notes that a part of a prompt is read. The first event follows the
-// last part, once the engine that writes has a slot.
-func (w *world) partRead(q *request) {
-	if q.unread--; q.unread > 0 || q.over {
+// finishPart records that the prefill of a part is complete. The first event follows
+// the last part, once the engine that decodes has a slot.
+func (w *world) finishPart(q *request) {
+	if q.unreadParts--; q.unreadParts > 0 || q.ended {
 		return
 	}
 	id := q.plan.Writer().ID
 	e := w.engines[id]
 	e.reading = slices.DeleteFunc(e.reading, func(x *request) bool { return x == q })
 	e.queued = append(e.queued, q)
-	w.write(id)
-	w.pass(id)
+	w.startDecoding(id)
+	w.startPass(id)
 }
 
-// write has an engine begin the answers for which it has slots.
-func (w *world) write(id string) {
-	for _, q := range w.engines[id].write() {
+// startDecoding starts decode of the requests for which an engine has slots.
+func (w *world) startDecoding(id string) {
+	for _, q := range w.engines[id].startDecoding() {
 		w.emit(q)
 	}
 }
 
 // emit sends an event to the client.
 func (w *world) emit(q *request) {
-	if q.over {
+	if q.ended {
 		return
 	}
 	if q.sent == 0 {
@@ -229,19 +229,19 @@
 	q.last = w.Now()
 }
 
-// watch ends a request when it is complete or its client gives up.
+// watch polls a request and ends it when it is complete or its client gives up.
 func (w *world) watch(q *request) {
-	const look = 10 * time.Millisecond
+	const pollInterval = 10 * time.Millisecond
 	switch {
-	case q.over:
+	case q.ended:
 	case q.sent >= q.events:
 		q.at.end(q)
 		w.score(q)
-	case w.Now()-q.arrived > q.kind.Deadline.Std() || w.Now()-q.last > q.kind.patience():
+	case w.Now()-q.arrived > q.kind.Deadline.Std() || w.Now()-q.last > q.kind.idleTimeout():
 		q.at.end(q)
 		q.result.GivenUp++
 	default:
-		w.After(look, func() { w.watch(q) })
+		w.After(pollInterval, func() { w.watch(q) })
 	}
 }
 
@@ -251,26 +251,26 @@
 	res.firsts, res.gaps = append(res.firsts, q.first), append(res.gaps, q.gap)
 	if q.first <= q.kind.First.Std() && q.gap <= q.kind.Pause.Std() {
 		res.InTime++
-		w.earn(q, q.kind.Worth)
+		w.addEarned(q, q.kind.AnswerValue)
 		return
 	}
 	res.Late++
-	w.earn(q, q.kind.LateWorth)
+	w.addEarned(q, q.kind.LateValue)
 }
 
-// Series is what Play runs.
+// Series describes the runs of Play.
 type Series struct {
 	Loads []Load
-	// Seed is the first of Seeds seeds that each load is run with.
+	// Each load is run with Seeds consecutive seeds, starting with Seed.
 	Seed  uint64
 	Seeds int
-	// Length is the virtual time of a run, Rate a factor of the loads' rates.
+	// Length is the virtual time of a run, Rate a factor for the arrival rates.
 	Length time.Duration
 	Rate   float64
 }
 
-// Play runs loads at the same time and returns a summary of each in their order,
-// so that the result does not depend on the machine.
+// Play runs loads concurrently and returns their summaries in the order of the loads,
+// so that the result does not depend on scheduling.
 func Play(p Series) []Summary {
 	runs := make([][]Summary, len(p.Loads))
 	var wg sync.WaitGroup
