--- a/control/loads/loads.go
+++ b/control/loads/loads.go
@@ -1,5 +1,5 @@
-// Package loads shares between the instances of a cell what work each has placed on
-// the backend servers, so that every instance can place requests by itself.
+// Package loads exchanges load reports between the instances of a cell: each reports the
+// work that it has placed on backend servers, so that every instance can place requests alone.
 package loads
 
 import (
@@ -30,30 +30,31 @@
 
 func init() { auburnmoor.Register(new(Loads)) }
 
-// Times of the reports.
+// Timing of load reports.
 const (
-	// gatherFor is how long changes are gathered into one report. Two instances
-	// that place a request within it do not see each other's.
-	gatherFor = 2 * time.Millisecond
-	// repeatWithin is how long after a report the next one repeats it. A prompt's reports
-	// name the same servers, and the complete report repairs what was lost before.
-	repeatWithin = 50 * time.Millisecond
-	// completeEvery bounds how long a lost report leaves others with a wrong figure. It is
-	// also the sign of life to mates: two in a row may be lost, with nothing else sent
-	// between them, before a mate is given up after 2.2 s of silence.
-	completeEvery = 700 * time.Millisecond
-	// greetEvery is the pause between signs of life to the other cells, in complete reports.
-	// They give a member up after 5 s, or on the word of its mates.
-	greetEvery = 3
-	// silentAfter is how long the last report of a peer is believed: two complete reports in
-	// a row may be lost.
-	silentAfter = 2500 * time.Millisecond
-	// blindFor bounds how long a new instance waits to hear from its peers.
-	blindFor = 3 * time.Second
+	// batchDelay is how long changes are batched into one report. Two instances that place
+	// requests within it do not see each other's placement.
+	batchDelay = 2 * time.Millisecond
+	// repeatWindow is the age up to which a report's changes are repeated by the next one.
+	// Reports older than that are repaired by the next complete report if they were lost.
+	repeatWindow = 50 * time.Millisecond
+	// completeInterval is the interval of complete reports. It bounds how long a lost report
+	// leaves mates with a wrong load. Complete reports are also the heartbeat between mates:
+	// two in a row may be lost before a mate is suspected after 2.2 s of silence.
+	completeInterval = 700 * time.Millisecond
+	// heartbeatEvery is the interval of heartbeats to other cells, in complete reports. Other
+	// cells suspect a member after 5 s, or when its mates report it silent.
+	heartbeatEvery = 3
+	// peerTimeout is how long a peer's last report stays valid: two complete reports in a
+	// row may be lost.
+	peerTimeout = 2500 * time.Millisecond
+	// maxWarmUp bounds how long a new instance waits for complete reports of its mates.
+	maxWarmUp = 3 * time.Second
 )
 
-// seedOfAway tells the random numbers of the pauses from others of this instance.
-const seedOfAway = 5
+// awaySeed separates the random stream of the pauses of rejecting servers from the
+// instance's other streams.
+const awaySeed = 5
 
 // Loads is the module "control.loads".
 type Loads struct {
@@ -70,20 +71,20 @@
 	ledger *spread.Ledger
 	queue  *spread.Queue
 	away   *away.Table
-	// last is the work that changed with the last report, at lastAt; reported is the number
-	// of reports.
-	last     map[spread.Key]spread.Work
-	lastAt   time.Duration
-	reported uint64
-	// newest tells the newest report of each mate.
-	newest map[string]reportID
-	// heard are the mates that reported all of their work.
-	heard map[string]bool
-	cell  cell.Cell
-	mates map[string]bool
-}
-
-// reportID orders the reports of one instance.
+	// lastChanged is the work that changed before the last report, which was sent at lastReportAt;
+	// reportCount is the number of reports sent.
+	lastChanged  map[spread.Key]spread.Work
+	lastReportAt time.Duration
+	reportCount  uint64
+	// newestReport identifies the newest report received from each mate.
+	newestReport map[string]reportID
+	// synced holds the mates from which a complete report was received.
+	synced map[string]bool
+	cell   cell.Cell
+	mates  map[string]bool
+}
+
+// reportID orders the reports of one instance across restarts.
 type reportID struct{ incarnation, sequence uint64 }
 
 // ModuleInfo implements auburnmoor.Module.
@@ -106,11 +107,11 @@
 		return err
 	}
 	l.log, l.now, l.scope, l.ledger, l.queue = c.Log, c.Now, c.Scope, spread.NewLedger(), spread.NewQueue()
-	l.away = away.NewTable(rand.New(rand.NewPCG(c.Seed, seedOfAway)).Float64)
+	l.away = away.NewTable(rand.New(rand.NewPCG(c.Seed, awaySeed)).Float64)
 	l.cell.Count = 1
-	l.dirty, l.heard, l.newest = make(chan struct{}, 1), map[string]bool{}, map[string]reportID{}
+	l.dirty, l.synced, l.newestReport = make(chan struct{}, 1), map[string]bool{}, map[string]reportID{}
 	l.link.Handle(l.receive)
-	l.members.OnView(l.divide)
+	l.members.OnView(l.updateCell)
 	return nil
 }
 
@@ -120,9 +121,9 @@
 	return nil
 }
 
-// Place runs choose with the present loads and what all instances hold back, and
-// notes what it placed, in one step, so that two requests of this instance never
-// see the same room.
+// Place calls choose with the current loads and the queue of held prompts, and records the
+// resulting placement under the same lock, so that two requests of this instance never
+// claim the same capacity.
 func (l *Loads) Place(choose func(load func(string) spread.Load, held *spread.Queue) (spread.Plan, spread.Verdict)) (spread.Plan, spread.Verdict) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -139,8 +140,8 @@
 	return p, spread.Placed
 }
 
-// FirstEvent ends the reading of a placed prompt at all servers. Only now do the helpers
-// stop counting it among the parts that they accept at once.
+// FirstEvent records the end of a request's prefill on all its servers. Helpers count the
+// prompt against their limit of concurrent parts until then.
 func (l *Loads) FirstEvent(p spread.Plan) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -151,7 +152,7 @@
 	l.wake()
 }
 
-// End ends what FirstEvent left of a placed request.
+// End removes the decode load of a placed request, which FirstEvent leaves in place.
 func (l *Loads) End(p spread.Plan) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -161,23 +162,22 @@
 	l.wake()
 }
 
-// Hold notes that this instance holds a deep prompt back, Leave that it does so
-// no longer.
+// Hold records that this instance holds back a deep prompt.
 func (l *Loads) Hold(t spread.Turn) {
-	l.onQueue(func(q *spread.Queue) { q.Hold(t) })
+	l.updateQueue(func(q *spread.Queue) { q.Hold(t) })
 }
 
-// Leave ends what Hold noted.
+// Leave removes a prompt that Hold recorded.
 func (l *Loads) Leave(request string) {
-	l.onQueue(func(q *spread.Queue) { q.Release(request) })
+	l.updateQueue(func(q *spread.Queue) { q.Release(request) })
 }
 
-// WaitForSlot adds n to the requests that wait here for a free slot.
+// WaitForSlot adds n to the number of this instance's requests that wait for a free slot.
 func (l *Loads) WaitForSlot(n int) {
-	l.onQueue(func(q *spread.Queue) { q.WaitForSlot(n) })
+	l.updateQueue(func(q *spread.Queue) { q.WaitForSlot(n) })
 }
 
-func (l *Loads) onQueue(change func(*spread.Queue)) {
+func (l *Loads) updateQueue(change func(*spread.Queue)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.queue.Update(l.now(), change) {
@@ -185,28 +185,28 @@
 	}
 }
 
-// TurnedAway notes that a server turned work away though it should have had room, and has
-// mates told. silent tells that the store has told nothing for a while.
-func (l *Loads) TurnedAway(s backends.Server, silent bool) {
+// TurnedAway records that a server rejected work although it should have had capacity, and
+// reports it to mates. storeSilent says that the store has not answered for a while.
+func (l *Loads) TurnedAway(s backends.Server, storeSilent bool) {
 	l.mu.Lock()
-	pause, fresh := l.away.RecordRejection(l.now(), away.KeyOf(s), silent)
+	pause, fresh := l.away.RecordRejection(l.now(), away.KeyOf(s), storeSilent)
 	l.wake()
 	l.mu.Unlock()
 	if fresh {
 		l.scope.Counter("servers_passed_over_total").Inc(1)
-		l.log.Info("server turned work away, passed over", zap.String("server", s.ID), zap.Duration("for", pause), zap.Bool("store_silent", silent))
+		l.log.Info("server rejected work, not used for a while", zap.String("server", s.ID), zap.Duration("for", pause), zap.Bool("store_silent", storeSilent))
 	}
 }
 
-// Present returns the servers that are not passed over because they turned work away, here
-// or at a mate.
+// Present returns the servers without those that are passed over because they rejected work
+// of this instance or of a mate.
 func (l *Loads) Present(servers []backends.Server) []backends.Server {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.away.Available(l.now(), servers)
 }
 
-// Of returns the work of all instances on a server.
+// Of returns the load that all instances of the cell have placed on a server.
 func (l *Loads) Of(server string) spread.Load {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -214,7 +214,7 @@
 	return l.ledger.Total(server)
 }
 
-// Backlog returns the mean reading that servers have before them.
+// Backlog returns the mean prefill time that is pending on the servers.
 func (l *Loads) Backlog(servers []backends.Server) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -222,11 +222,11 @@
 	return spread.Backlog(servers, l.ledger.Total)
 }
 
-// Blind reports whether this instance began too recently to know what others
-// have placed. Instances that start together and each believe the servers to be
-// empty all choose the same ones.
+// Blind reports whether this instance started too recently to know the work that its mates
+// have placed. Instances that start together and take all servers for idle would all
+// choose the same ones.
 func (l *Loads) Blind() bool {
-	if l.now() > blindFor {
+	if l.now() > maxWarmUp {
 		return false
 	}
 	l.mu.Lock()
@@ -235,7 +235,7 @@
 		return true
 	}
 	for mate := range l.mates {
-		if !l.heard[mate] {
+		if !l.synced[mate] {
 			return true
 		}
 	}
@@ -250,36 +250,37 @@
 }
 
 func (l *Loads) run(ctx context.Context) {
-	complete := time.NewTicker(completeEvery)
+	complete := time.NewTicker(completeInterval)
 	defer complete.Stop()
 	for n := 1; ; {
 		select {
 		case <-ctx.Done():
 			return
 		case <-complete.C:
-			l.divide(l.members.View())
+			l.updateCell(l.members.View())
 			l.report(true)
 			l.expire()
-			if n++; n%greetEvery == 0 {
-				l.greet()
+			if n++; n%heartbeatEvery == 0 {
+				l.sendHeartbeats()
 			}
 		case <-l.dirty:
-			time.Sleep(gatherFor)
+			time.Sleep(batchDelay)
 			l.report(false)
 		}
 	}
 }
 
-// expire drops what peers reported that went silent.
+// expire drops the work reported by peers whose reports have stopped.
 func (l *Loads) expire() {
 	l.mu.Lock()
-	silent := l.ledger.Expire(l.now() - silentAfter)
+	silent := l.ledger.Expire(l.now() - peerTimeout)
 	l.mu.Unlock()
 	for _, peer := range silent {
-		l.log.Warn("reports of a peer's work stopped, its work is no longer counted", zap.String("peer", peer), zap.Duration("silent", silentAfter))
+		l.log.Warn("load reports of a peer stopped, its work is no longer counted", zap.String("peer", peer), zap.Duration("silent", peerTimeout))
 	}
 }
 
+// report sends the changed work to all mates, or all work if complete is set.
 func (l *Loads) report(complete bool) {
 	l.mu.Lock()
 	now := l.now()
@@ -289,43 +290,44 @@
 	if complete {
 		changed = l.ledger.AllLocalWork(now)
 	} else {
-		changed = l.withLast(now, changed)
+		changed = l.withLastChanged(now, changed)
 	}
-	l.last, l.lastAt = latest, now
-	l.reported++
-	sequence := l.reported
+	l.lastChanged, l.lastReportAt = latest, now
+	l.reportCount++
+	sequence := l.reportCount
 	waiting := l.queue.TakeState(now)
-	turnedAway := l.away.Observed(now)
+	rejected := l.away.Observed(now)
 	mates := l.cell.Mates
 	l.mu.Unlock()
 	msg := &peerpb.LoadReport{Complete: complete, Sequence: sequence, ForSlot: int32(waiting.ForSlot)}
 	if waiting.HasFirst {
-		msg.Held = heldPrompt(now, waiting.First)
+		msg.Held = encodeHeldPrompt(now, waiting.First)
 	}
 	encodeWork(msg, changed)
-	encodeAway(msg, turnedAway)
+	encodeRejections(msg, rejected)
 	l.link.TellAll(mates, &peerpb.Envelope{Body: &peerpb.Envelope_LoadReport{LoadReport: msg}})
 }
 
-// withLast adds what the last report told, as it is now, if that was just now: a report may
-// be lost, and while much changes the next one follows within milliseconds. l.mu is held.
-func (l *Loads) withLast(now time.Duration, changed map[spread.Key]spread.Work) map[spread.Key]spread.Work {
-	if now-l.lastAt > repeatWithin {
+// withLastChanged adds the current state of the servers in the last report if that was sent within
+// repeatWindow, in case it was lost. Under load, reports follow each other within
+// milliseconds. l.mu must be held.
+func (l *Loads) withLastChanged(now time.Duration, changed map[spread.Key]spread.Work) map[spread.Key]spread.Work {
+	if now-l.lastReportAt > repeatWindow {
 		return changed
 	}
 	out := maps.Clone(changed)
 	if out == nil {
 		out = map[spread.Key]spread.Work{}
 	}
-	for server := range l.last {
+	for server := range l.lastChanged {
 		out[server] = l.ledger.LocalWork(now, server)
 	}
 	return out
 }
 
-// greet sends a sign of life to the instances of other cells, by datagrams: no connection
-// is needed for it.
-func (l *Loads) greet() {
+// sendHeartbeats sends heartbeats to the instances of other cells, as datagrams, which need no
+// connection.
+func (l *Loads) sendHeartbeats() {
 	l.mu.Lock()
 	mates := l.mates
 	l.mu.Unlock()
@@ -339,43 +341,43 @@
 		return
 	}
 	work, ok := decodeWork(r)
-	turnedAway, fits := decodeAway(r)
-	if !ok || !fits {
-		l.log.Warn("report of work cannot be read", zap.String("peer", from), zap.Int("servers", len(r.Servers)))
+	rejected, valid := decodeRejections(r)
+	if !ok || !valid {
+		l.log.Warn("malformed load report ignored", zap.String("peer", from), zap.Int("servers", len(r.Servers)))
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.mates[from] {
-		// Its list of members or servers is another one for the moment; what it places
-		// here is not known while that lasts.
+		// The sender's member or server list differs for the moment and puts it into this
+		// cell. Its work is not counted until the lists agree.
 		return
 	}
 	id := reportID{env.Incarnation, r.Sequence}
-	if last := l.newest[from]; last.incarnation == id.incarnation && id.sequence <= last.sequence && id.sequence > 0 {
+	if last := l.newestReport[from]; last.incarnation == id.incarnation && id.sequence <= last.sequence && id.sequence > 0 {
 		return
 	}
-	l.newest[from] = id
+	l.newestReport[from] = id
 	l.ledger.ApplyReport(l.now(), from, r.Complete, work)
-	l.queue.ApplyReport(l.now(), from, waitingOf(l.now(), r))
-	for server, left := range turnedAway {
+	l.queue.ApplyReport(l.now(), from, decodeWaiting(l.now(), r))
+	for server, left := range rejected {
 		l.away.ApplyReport(l.now(), server, left)
 	}
 	if r.Complete {
-		l.heard[from] = true
+		l.synced[from] = true
 	}
 }
 
-// heldPrompt tells of a prompt by how long it has waited, because instances have no
-// common clock.
-func heldPrompt(now time.Duration, t spread.Turn) *peerpb.HeldPrompt {
+// encodeHeldPrompt encodes a held prompt with its waiting time instead of its arrival time,
+// because instances have no common clock.
+func encodeHeldPrompt(now time.Duration, t spread.Turn) *peerpb.HeldPrompt {
 	return &peerpb.HeldPrompt{
 		Request: t.Request, Weight: t.Weight, WaitedUs: (now - t.Arrived).Microseconds(),
 		UsefulUs: t.FirstTarget.Microseconds(), LateAfterUs: t.LateAfter.Microseconds(),
 	}
 }
 
-func waitingOf(now time.Duration, r *peerpb.LoadReport) spread.Waiting {
+func decodeWaiting(now time.Duration, r *peerpb.LoadReport) spread.Waiting {
 	w := spread.Waiting{ForSlot: int(r.ForSlot)}
 	if h := r.Held; h != nil {
 		w.First, w.HasFirst = spread.Turn{
@@ -385,13 +387,13 @@
 	return w
 }
 
-// divide finds this instance's cell among the live instances.
-func (l *Loads) divide(v members.View) {
+// updateCell recomputes this instance's cell from the live instances.
+func (l *Loads) updateCell(v members.View) {
 	var live []string
 	for _, m := range v.Alive {
 		live = append(live, m.Name)
 	}
-	next := cell.Of(l.link.Self(), live, l.fewestEngines())
+	next := cell.Of(l.link.Self(), live, l.minReadyServers())
 	mates := make(map[string]bool, len(next.Mates))
 	for _, m := range next.Mates {
 		mates[m] = true
@@ -402,40 +404,41 @@
 		l.log.Info("cell changed", zap.Int("cell", next.Index), zap.Int("cells", next.Count), zap.Int("mates", len(mates)), zap.Int("instances", len(live)))
 	}
 	l.cell, l.mates = next, mates
-	l.members.SetNeighbours(neighboursOf(l.link.Self(), next, live))
+	l.members.SetNeighbours(gossipNeighbours(l.link.Self(), next, live))
 	l.ledger.RetainPeers(mates)
 	l.queue.RetainPeers(mates)
-	for peer := range l.heard {
+	for peer := range l.synced {
 		if !mates[peer] {
-			delete(l.heard, peer)
-			delete(l.newest, peer)
+			delete(l.synced, peer)
+			delete(l.newestReport, peer)
 		}
 	}
 }
 
-// neighboursOf are none in a fleet of one cell, where all gossip with all.
-func neighboursOf(self string, c cell.Cell, live []string) member.Neighbours {
+// gossipNeighbours returns the gossip neighbours, or the zero value in a fleet of one cell, where
+// every instance gossips with all others.
+func gossipNeighbours(self string, c cell.Cell, live []string) member.Neighbours {
 	if c.Count <= 1 {
 		return member.Neighbours{}
 	}
 	return member.NeighboursOf(self, c.Mates, live)
 }
 
-// fewestEngines is the number of ready servers of the model service that has fewest, zero
-// while nothing is known.
-func (l *Loads) fewestEngines() int {
+// minReadyServers returns the minimum number of ready servers over all model services, or zero
+// while the catalog is unknown.
+func (l *Loads) minReadyServers() int {
 	table, servers := l.catalog.Table(), l.catalog.Servers()
 	if table == nil || servers == nil {
 		return 0
 	}
-	fewest := 0
+	minCount := 0
 	for _, s := range table.Services {
 		n := len(servers.Ready(s.Name))
-		if s.Engine != nil && (fewest == 0 || n < fewest) {
-			fewest = n
+		if s.Engine != nil && (minCount == 0 || n < minCount) {
+			minCount = n
 		}
 	}
-	return fewest
+	return minCount
 }
 
 // Cell returns this instance's cell.
@@ -456,8 +459,8 @@
 		return d
 	}
 	for _, s := range list.All() {
-		note(d.Totals, s.ID, l.ledger.Total(s.ID))
-		note(d.Own, s.ID, l.ledger.LocalLoad(s.ID))
+		setNonZero(d.Totals, s.ID, l.ledger.Total(s.ID))
+		setNonZero(d.Own, s.ID, l.ledger.LocalLoad(s.ID))
 		if l.away.PassedOver(l.now(), away.KeyOf(s)) {
 			d.PassedOver = append(d.PassedOver, s.ID)
 		}
@@ -465,19 +468,20 @@
 	return d
 }
 
-func note(loads map[string]spread.Load, server string, v spread.Load) {
+func setNonZero(loads map[string]spread.Load, server string, v spread.Load) {
 	if v != (spread.Load{}) {
 		loads[server] = v
 	}
 }
 
-// Dump is this instance's cell and the work placed on the backend servers that are listed.
+// Dump is the state of the module: this instance's cell and the load on the listed servers.
 type Dump struct {
 	Cell   int                    `json:"cell"`
 	Cells  int                    `json:"cells"`
 	Mates  []string               `json:"mates,omitempty"`
 	Totals map[string]spread.Load `json:"totals"`
 	Own    map[string]spread.Load `json:"own"`
-	// PassedOver are the servers that turned work away, here or at a mate.
+	// PassedOver lists the servers that are not used because they rejected work of this
+	// instance or of a mate.
 	PassedOver []string `json:"passed_over,omitempty"`
 }
--- a/control/loads/report.go
+++ b/control/loads/report.go
@@ -9,10 +9,10 @@
 	"github.com/auburnmoor/auburnmoor/peerpb"
 )
 
-// tick is the unit of times in reports of work.
-const tick = 100 * time.Microsecond
+// durationUnit is the unit of durations in load reports.
+const durationUnit = 100 * time.Microsecond
 
-// encodeWork puts the work on servers into the columns of a report.
+// encodeWork encodes the work on servers as the columns of a report.
 func encodeWork(r *peerpb.LoadReport, work map[spread.Key]spread.Work) {
 	for server, w := range work {
 		r.Servers = append(r.Servers, uint32(server))
@@ -20,28 +20,29 @@
 		r.LongCalls = append(r.LongCalls, uint32(max(0, w.DeepCalls)))
 		r.HeldTokens = append(r.HeldTokens, uint64(max(0, w.HeldTokens)))
 		r.Parts = append(r.Parts, uint32(max(0, w.Parts)))
-		r.Unread = append(r.Unread, ticks(w.UnconfirmedPrefill))
+		r.Unread = append(r.Unread, durationUnits(w.UnconfirmedPrefill))
 		r.Reads = append(r.Reads, uint32(len(w.Prefills)))
 		for _, part := range w.Prefills {
-			r.Read = append(r.Read, ticks(part.Duration))
-			r.Due = append(r.Due, ticks(part.ExpectedEnd))
+			r.Read = append(r.Read, durationUnits(part.Duration))
+			r.Due = append(r.Due, durationUnits(part.ExpectedEnd))
 		}
 	}
-	r.Calls, r.LongCalls, r.HeldTokens = unlessZeros(r.Calls), unlessZeros(r.LongCalls), unlessZeros(r.HeldTokens)
-	r.Parts, r.Unread, r.Reads = unlessZeros(r.Parts), unlessZeros(r.Unread), unlessZeros(r.Reads)
+	r.Calls, r.LongCalls, r.HeldTokens = omitZeros(r.Calls), omitZeros(r.LongCalls), omitZeros(r.HeldTokens)
+	r.Parts, r.Unread, r.Reads = omitZeros(r.Parts), omitZeros(r.Unread), omitZeros(r.Reads)
 }
 
-func ticks(d time.Duration) uint32 { return uint32(max(0, (d+tick/2)/tick)) }
+func durationUnits(d time.Duration) uint32 { return uint32(max(0, (d+durationUnit/2)/durationUnit)) }
 
-func unlessZeros[T uint32 | uint64](column []T) []T {
+// omitZeros returns nil for a column of zeros, which is omitted on the wire.
+func omitZeros[T uint32 | uint64](column []T) []T {
 	if slices.ContainsFunc(column, func(v T) bool { return v != 0 }) {
 		return column
 	}
 	return nil
 }
 
-// decodeWork reads the columns of a report. It returns false for a report whose columns
-// do not fit each other.
+// decodeWork decodes the columns of a report. It returns false if their lengths are
+// inconsistent.
 func decodeWork(r *peerpb.LoadReport) (map[spread.Key]spread.Work, bool) {
 	n := len(r.Servers)
 	fits := func(column int) bool { return column == 0 || column == n }
@@ -52,15 +53,15 @@
 	next := 0
 	for i, server := range r.Servers {
 		w := spread.Work{Load: spread.Load{
-			Calls: int64(at(r.Calls, i)), DeepCalls: int64(at(r.LongCalls, i)), HeldTokens: int64(at(r.HeldTokens, i)),
-			Parts: int64(at(r.Parts, i)), UnconfirmedPrefill: time.Duration(at(r.Unread, i)) * tick,
+			Calls: int64(valueAt(r.Calls, i)), DeepCalls: int64(valueAt(r.LongCalls, i)), HeldTokens: int64(valueAt(r.HeldTokens, i)),
+			Parts: int64(valueAt(r.Parts, i)), UnconfirmedPrefill: time.Duration(valueAt(r.Unread, i)) * durationUnit,
 		}}
-		reads := int(at(r.Reads, i))
-		if next+reads > min(len(r.Read), len(r.Due)) {
+		prefills := int(valueAt(r.Reads, i))
+		if next+prefills > min(len(r.Read), len(r.Due)) {
 			return nil, false
 		}
-		for ; reads > 0; reads-- {
-			w.Prefills = append(w.Prefills, spread.Prefill{Duration: time.Duration(r.Read[next]) * tick, ExpectedEnd: time.Duration(r.Due[next]) * tick})
+		for ; prefills > 0; prefills-- {
+			w.Prefills = append(w.Prefills, spread.Prefill{Duration: time.Duration(r.Read[next]) * durationUnit, ExpectedEnd: time.Duration(r.Due[next]) * durationUnit})
 			next++
 		}
 		out[spread.Key(server)] = w
@@ -68,24 +69,25 @@
 	return out, true
 }
 
-// at is a value of a column; one that is left out has zeros.
-func at[T uint32 | uint64](column []T, i int) T {
+// valueAt returns a value of a column. An omitted column is all zeros.
+func valueAt[T uint32 | uint64](column []T, i int) T {
 	if len(column) == 0 {
 		return 0
 	}
 	return column[i]
 }
 
-// encodeAway puts the servers that turned work away into a report.
-func encodeAway(r *peerpb.LoadReport, servers map[away.Key]time.Duration) {
+// encodeRejections adds to a report the servers that rejected work, with the time left for which
+// each is passed over.
+func encodeRejections(r *peerpb.LoadReport, servers map[away.Key]time.Duration) {
 	for server, left := range servers {
 		r.Away = append(r.Away, uint32(server))
 		r.AwayMs = append(r.AwayMs, uint32(left.Milliseconds()))
 	}
 }
 
-// decodeAway reads them. It returns false for a report whose columns do not fit each other.
-func decodeAway(r *peerpb.LoadReport) (map[away.Key]time.Duration, bool) {
+// decodeRejections decodes what encodeRejections added. It returns false if the columns differ in length.
+func decodeRejections(r *peerpb.LoadReport) (map[away.Key]time.Duration, bool) {
 	if len(r.Away) != len(r.AwayMs) {
 		return nil, false
 	}
