--- a/control/loads/loads.go
+++ b/control/loads/loads.go
@@ -40,7 +40,8 @@
 	repeatWindow = 50 * time.Millisecond
 	// completeInterval is the interval of complete reports. It bounds how long a lost report
 	// leaves mates with a wrong load. Complete reports are also the heartbeat between mates:
-	// two in a row may be lost before a mate is suspected after 2.2 s of silence.
+	// two in a row may be lost, with no other message in between, before a mate is suspected
+	// after 2.2 s of silence.
 	completeInterval = 700 * time.Millisecond
 	// heartbeatEvery is the interval of heartbeats to other cells, in complete reports. Other
 	// cells suspect a member after 5 s, or when its mates report it silent.
@@ -84,7 +85,7 @@
 	mates  map[string]bool
 }
 
-// reportID orders the reports of one instance across restarts.
+// reportID identifies a report of an instance: sequence restarts with each incarnation.
 type reportID struct{ incarnation, sequence uint64 }
 
 // ModuleInfo implements auburnmoor.Module.
--- a/control/loads/loads_test.go
+++ b/control/loads/loads_test.go
@@ -52,14 +52,14 @@
 	// but never its end, and the engine would stay unused for the life of the receiver.
 	It("are counted from mates only", func() {
 		l.receive("a", report(2))
-		l.receive("other-cell", report(5))
+		l.receive("stranger", report(5))
 		Expect(l.Of("s").Calls).To(Equal(int64(2)))
 	})
 
 	It("are awaited from all mates after start", func() {
 		Expect(l.Blind()).To(BeTrue())
 		l.receive("a", report(1))
-		l.receive("other-cell", report(1))
+		l.receive("stranger", report(1))
 		Expect(l.Blind()).To(BeTrue())
 		l.receive("b", report(0))
 		Expect(l.Blind()).To(BeFalse())
--- a/control/members/cost_test.go
+++ b/control/members/cost_test.go
@@ -13,8 +13,8 @@
 	"github.com/auburnmoor/auburnmoor/port/instances"
 )
 
-// BenchmarkPublish is the rebuilding of the view, done at changes and ten times
-// a second.
+// BenchmarkPublish measures a rebuild of the view, which runs on changes and ten times a
+// second.
 func BenchmarkPublish(b *testing.B) {
 	for _, n := range []int{9, 50, 150, 350} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -26,7 +26,7 @@
 				for k := range 2 {
 					name := fmt.Sprintf("engine-%d-%d", i, k)
 					s.Engines = append(s.Engines, &peerpb.EngineState{Name: name, KvTotal: 480_000, Models: []string{"m@v1"}})
-					m.last = append(m.last, instances.Instance{Name: name, Role: instances.RoleEngine, Addr: "10.0.0.2:8000"})
+					m.lastList = append(m.lastList, instances.Instance{Name: name, Role: instances.RoleEngine, Addr: "10.0.0.2:8000"})
 				}
 				g.Members = append(g.Members, s)
 			}
--- a/control/members/dump.go
+++ b/control/members/dump.go
@@ -8,46 +8,46 @@
 	"github.com/auburnmoor/auburnmoor/ring"
 )
 
-// viewKey is a digest of what listeners care about, to tell whether a view changed. It
-// is taken ten times a second: rendered as text it was half of the processor time of an
-// instance at rest among 74 (processor profile).
-func viewKey(v View) uint64 {
-	var k keyWriter
-	k.Reset()
+// digestOf returns a digest of the parts of a view that listeners use, to detect changes. It
+// runs ten times a second: a textual form took half of the CPU time of an idle instance in
+// a fleet of 74.
+func digestOf(v View) uint64 {
+	var d fieldDigest
+	d.Reset()
 	for _, s := range v.Alive {
-		k.text(s.Name, s.CallerAddr)
-		k.number(s.Incarnation, bit(s.Leaving)|bit(s.Serving)<<1, uint64(s.Capacity))
+		d.addText(s.Name, s.CallerAddr)
+		d.addNumbers(s.Incarnation, bit(s.Leaving)|bit(s.Serving)<<1, uint64(s.Capacity))
 	}
 	for _, e := range v.Engines {
-		k.text(e.Name, e.Addr)
-		k.number(bit(e.Leaving), bit(e.State != nil))
+		d.addText(e.Name, e.Addr)
+		d.addNumbers(bit(e.Leaving), bit(e.State != nil))
 		if e.State != nil {
-			k.number(uint64(e.State.KvTotal), uint64(len(e.State.Models)))
-			k.text(e.State.Models...)
+			d.addNumbers(uint64(e.State.KvTotal), uint64(len(e.State.Models)))
+			d.addText(e.State.Models...)
 		}
 	}
 	for _, s := range v.Services {
-		k.text(s.Name, s.Addr)
-		k.number(bit(s.Leaving))
+		d.addText(s.Name, s.Addr)
+		d.addNumbers(bit(s.Leaving))
 	}
-	return k.Sum64()
+	return d.Sum64()
 }
 
-// keyWriter digests fields one after the other.
-type keyWriter struct{ xxhash.Digest }
+// fieldDigest is a digest of a sequence of fields.
+type fieldDigest struct{ xxhash.Digest }
 
-func (k *keyWriter) text(fields ...string) {
+func (d *fieldDigest) addText(fields ...string) {
 	for _, f := range fields {
-		k.number(uint64(len(f)))
-		_, _ = k.WriteString(f)
+		d.addNumbers(uint64(len(f)))
+		_, _ = d.WriteString(f)
 	}
 }
 
-func (k *keyWriter) number(fields ...uint64) {
+func (d *fieldDigest) addNumbers(fields ...uint64) {
 	for _, f := range fields {
 		var raw [8]byte
 		binary.LittleEndian.PutUint64(raw[:], f)
-		_, _ = k.Write(raw[:])
+		_, _ = d.Write(raw[:])
 	}
 }
 
@@ -75,7 +75,7 @@
 	DataCentre  string `json:"data_centre"`
 }
 
-// maxDumped bounds the lines of each list in a dump.
+// maxDumped bounds the length of each list in a dump.
 const maxDumped = 1000
 
 // Dump implements auburnmoor.Dumper.
--- a/control/members/list.go
+++ b/control/members/list.go
@@ -13,66 +13,66 @@
 	"github.com/auburnmoor/auburnmoor/port/instances"
 )
 
-// Times of the duties around the instance list.
+// Timing of registration and reads of the instance list.
 const (
-	// registerTimeout bounds a call to the list, which answers in milliseconds.
+	// registerTimeout bounds a call to the list, which normally answers in milliseconds.
 	registerTimeout = 2 * time.Second
-	// Pauses between vain attempts to register.
-	firstPause, longestPause = 200 * time.Millisecond, 5 * time.Second
-	// settleFor is how long gossip gets to tell an instance that starts of the others.
-	// Without it all instances that start together take themselves for the only ones,
-	// put themselves into the list and watch the store.
-	settleFor = 1500 * time.Millisecond
-	// relistWithin is the time over which instances put themselves into the list again
-	// after the platform lost entries, so that they do not all call at the same moment.
-	relistWithin = time.Second
-	// dutyEvery is how often an instance looks whether the list is its duty.
-	dutyEvery = 500 * time.Millisecond
+	// Bounds of the backoff between failed registrations.
+	minBackoff, maxBackoff = 200 * time.Millisecond, 5 * time.Second
+	// settlePeriod is how long a new instance waits to learn of others by gossip. Without it
+	// all instances that start together would each find no peers, register in the list and
+	// watch the store.
+	settlePeriod = 1500 * time.Millisecond
+	// maxRelistDelay is the maximum random delay of a renewed registration after the platform
+	// lost entries, so that instances do not all call at the same moment.
+	maxRelistDelay = time.Second
+	// roleCheckInterval is the interval of checks whether this instance has to use the list.
+	roleCheckInterval = 500 * time.Millisecond
 )
 
-// Settled reports whether this instance has run for long enough to know who else lives.
-func (m *Members) Settled() bool { return m.now() >= settleFor }
+// Settled reports whether this instance has run for long enough to know the live members.
+func (m *Members) Settled() bool { return m.now() >= settlePeriod }
 
-// listed reports whether this instance belongs into the instance list. With few listed
-// those that watch the store are enough for others to find the fleet by when the seeds
-// of their settings are gone; one that knows no peer may be the only one.
-func (m *Members) listed() bool {
-	return !m.FewListed || (m.Settled() && (m.lonely() || m.Standing().Primary()))
+// mustRegister reports whether this instance has to register in the instance list. With FewListed,
+// the instances that watch the store suffice for others to find the fleet when the seeds in
+// their settings are gone, and an instance without peers registers as it may be the only one.
+func (m *Members) mustRegister() bool {
+	return !m.FewListed || (m.Settled() && (m.knowsNoPeer() || m.Standing().Primary()))
 }
 
-func (m *Members) lonely() bool { return len(m.View().Alive) <= 1 }
+func (m *Members) knowsNoPeer() bool { return len(m.View().Alive) <= 1 }
 
-// keepListed puts this instance into the list once it belongs there, and again when the
-// platform lost its entry.
-func (m *Members) keepListed(ctx context.Context) {
+// keepRegistered registers this instance once that is its task, and again when the platform may
+// have lost the entry.
+func (m *Members) keepRegistered(ctx context.Context) {
 	for ctx.Err() == nil {
 		m.register(ctx)
 		select {
 		case <-ctx.Done():
-		case <-m.lost:
-			wait.For(ctx, rand.N(relistWithin))
+		case <-m.entryLost:
+			wait.For(ctx, rand.N(maxRelistDelay))
 		}
 	}
 }
 
-// EntriesLost tells that the platform may have lost the entry of this instance.
+// EntriesLost signals that the platform may have lost the entry of this instance.
 func (m *Members) EntriesLost() {
 	select {
-	case m.lost <- struct{}{}:
+	case m.entryLost <- struct{}{}:
 	default:
 	}
 }
 
-// register tries until this instance is in the list.
+// register retries until this instance is registered in the list.
 func (m *Members) register(ctx context.Context) {
 	r := rand.New(rand.NewPCG(rand.Uint64(), 2))
 	for n := 0; ctx.Err() == nil; {
-		if !m.listed() {
-			wait.For(ctx, dutyEvery)
+		if !m.mustRegister() {
+			wait.For(ctx, roleCheckInterval)
 			continue
 		}
 		call, cancel := context.WithTimeout(ctx, registerTimeout)
-		m.entered.Store(true)
+		m.maybeListed.Store(true)
 		err := m.registrar.Register(call, m.self)
 		cancel()
 		if err == nil {
@@ -80,43 +80,43 @@
 			return
 		}
 		if n == 0 {
-			m.log.Warn("not registered in the instance list, trying on", eventlog.Error(err))
+			m.log.Warn("registration in the instance list failed, retrying", eventlog.Error(err))
 		}
-		wait.For(ctx, retry.Backoff(r, firstPause, longestPause, n))
+		wait.For(ctx, retry.Backoff(r, minBackoff, maxBackoff, n))
 		n++
 	}
 }
 
-// deregister takes this instance out of the list at its shutdown. An entry that
-// stays behind costs others a vain connection attempt now and then.
+// deregister removes this instance from the list at shutdown. A stale entry costs other
+// instances a failed connection attempt now and then.
 func (m *Members) deregister(ctx context.Context) {
 	call, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
 	if err := m.registrar.Deregister(call, m.self.Name); err != nil {
-		m.log.Warn("entry in the instance list stays behind", eventlog.Error(err))
+		m.log.Warn("deregistration failed, stale entry left in the instance list", eventlog.Error(err))
 	}
 }
 
 // Drain implements auburnmoor.Drainer.
 func (m *Members) Drain(ctx context.Context) error {
-	if m.registrar != nil && m.entered.Load() {
+	if m.registrar != nil && m.maybeListed.Load() {
 		m.deregister(ctx)
 	}
 	return nil
 }
 
-// pollList reads the list for ever.
+// pollList reads the list periodically until ctx ends.
 func (m *Members) pollList(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause := m.PollList.Std()/2 + rand.N(m.PollList.Std())
-		if m.listed() {
+		if m.mustRegister() {
 			m.readList(ctx)
-			if m.FewListed && m.lonely() {
-				pause = dutyEvery + rand.N(dutyEvery)
+			if m.FewListed && m.knowsNoPeer() {
+				pause = roleCheckInterval + rand.N(roleCheckInterval)
 			}
 		} else {
-			m.seed()
-			pause = dutyEvery
+			m.contactSeeds()
+			pause = roleCheckInterval
 		}
 		wait.For(ctx, pause)
 	}
@@ -127,14 +127,14 @@
 	if err != nil {
 		return
 	}
-	m.contacts(list)
+	m.setContacts(list)
 	m.publish()
 }
 
-// seed makes contacts of the instances that are known without a call.
-func (m *Members) seed() {
+// contactSeeds uses the platform's seeds as contacts, which needs no call, while no peer is known.
+func (m *Members) contactSeeds() {
 	s, ok := m.list.(instances.Seeder)
-	if ok && m.lonely() {
-		m.contacts(s.Seeds())
+	if ok && m.knowsNoPeer() {
+		m.setContacts(s.Seeds())
 	}
 }
--- a/control/members/members.go
+++ b/control/members/members.go
@@ -1,5 +1,5 @@
-// Package members keeps the list of live instances and of backend servers and
-// tells other modules when it changes.
+// Package members maintains the view of live instances and backend servers and
+// notifies other modules when it changes.
 package members
 
 import (
@@ -30,25 +30,25 @@
 
 // Members is the module "control.members".
 type Members struct {
-	// Seeds are name=host:port of instances to try when the instance list
+	// Seeds maps names to host:port of instances to contact when the instance list
 	// cannot be read.
 	Seeds map[string]string `toml:"seeds" validate:"dive,hostname_port"`
-	// PollList is the period of reading the instance list.
+	// PollList is the mean interval between reads of the instance list.
 	PollList settings.Duration `toml:"poll_list"`
-	// FewListed leaves the list to a few: the instances that watch the store put
-	// themselves into it and read it, the others only while they know no peer.
+	// FewListed restricts the use of the instance list: only instances that watch the store
+	// register in it and read it, and others while they know no peer.
 	FewListed bool `toml:"few_listed"`
-	// Gossip is the period of gossip.
+	// Gossip is the interval between gossip rounds.
 	Gossip settings.Duration `toml:"gossip"`
 	// FailBase is the silence after which a member of a fleet of two is
 	// suspected; it grows with the logarithm of the fleet's size.
 	FailBase settings.Duration `toml:"fail_base"`
-	// FailDistant is the silence after which a member of another cell is suspected, if
-	// its own does not tell before that it fell silent.
+	// FailDistant is the silence after which a member of another cell is suspected, unless
+	// its cell reports it silent before.
 	FailDistant settings.Duration `toml:"fail_distant"`
-	// FailMost bounds it in large fleets, where instances hear from each other
-	// directly; zero does not.
-	FailMost settings.Duration `toml:"fail_most"`
+	// FailMax is the upper bound of the timeout that starts at FailBase, for large fleets
+	// whose instances hear from each other directly; zero means no bound.
+	FailMax settings.Duration `toml:"fail_most"`
 
 	log  *zap.Logger
 	now  func() time.Duration
@@ -58,43 +58,43 @@
 	registrar instances.Registrar
 	self      instances.Instance
 	inbox     *ring.Ring[*peerpb.Gossip]
-	spread    chan struct{}
-	// lost tells that the entry of this instance may be gone.
-	lost chan struct{}
-	// entered tells that this instance may be in the list.
-	entered atomic.Bool
-
-	publishing sync.Mutex
-	mu         sync.Mutex
-	states     map[string]*peerpb.EngineState
-	table      *member.Table
-	last       []instances.Instance
-	view       View
-	onView     []func(View)
-	standing   watch.Standing
-	carry      []func(*peerpb.Gossip)
-	// neighbours are those with whom this instance gossips, none if it does with all.
+	gossipNow chan struct{}
+	// entryLost signals that this instance's entry in the list may be gone.
+	entryLost chan struct{}
+	// maybeListed is set once a registration was attempted: the entry may exist.
+	maybeListed atomic.Bool
+
+	publishMu   sync.Mutex
+	mu          sync.Mutex
+	states      map[string]*peerpb.EngineState
+	table       *member.Table
+	lastList    []instances.Instance
+	view        View
+	onView      []func(View)
+	standing    watch.Standing
+	gossipHooks []func(*peerpb.Gossip)
+	// neighbours holds the gossip partners of this instance, empty if all instances are.
 	neighbours map[string]bool
-	// key is the digest of the view that the listeners were told last.
-	key     uint64
-	leaving bool
+	// viewDigest is the digest of the view that listeners received last.
+	viewDigest uint64
+	leaving    bool
 }
 
-// View is a consistent picture of the fleet.
+// View is a consistent snapshot of the fleet.
 type View struct {
 	Alive    []*peerpb.MemberState
 	Engines  []Engine
 	Services []instances.Instance
 }
 
-// Lives reports whether a process of that name and incarnation is a member.
+// Lives reports whether the process with the name and incarnation is a live member.
 func (v View) Lives(name string, incarnation uint64) bool {
 	return slices.ContainsFunc(v.Alive, func(s *peerpb.MemberState) bool {
 		return s.Name == name && s.Incarnation == incarnation
 	})
 }
 
-// Engine is a model engine as the list and its owner describe it.
+// Engine is a model engine as described by the instance list and by the engine's owner.
 type Engine struct {
 	Name, Addr, DataCentre string
 	Fencing, Leaving       bool
@@ -109,7 +109,7 @@
 	}
 }
 
-// Defaults of the settings and the bound of the inbox.
+// Default of the list interval and capacity of the inbox.
 const (
 	defaultPollList = time.Second
 	inboxSize       = 1024
@@ -131,7 +131,7 @@
 	if m.FailBase > 0 {
 		cfg.FailBase = m.FailBase.Std()
 	}
-	cfg.FailMost, cfg.FailDistant = m.FailMost.Std(), m.FailDistant.Std()
+	cfg.FailMost, cfg.FailDistant = m.FailMax.Std(), m.FailDistant.Std()
 	if m.PollList == 0 {
 		m.PollList = settings.Duration(defaultPollList)
 	}
@@ -143,7 +143,7 @@
 	m.log, m.now, m.list = c.Log, c.Now, p.Lister()
 	m.table = member.NewTable(self, cfg, rand.New(rand.NewPCG(c.Seed, 1)))
 	m.inbox = ring.New[*peerpb.Gossip]("members.inbox", inboxSize)
-	m.spread, m.lost = make(chan struct{}, 1), make(chan struct{}, 1)
+	m.gossipNow, m.entryLost = make(chan struct{}, 1), make(chan struct{}, 1)
 	m.registrar, _ = p.(instances.Registrar)
 	m.self = instances.Instance{Name: self.Name, Role: instances.RoleEntry, Addr: self.CallerAddr, PeerAddr: self.PeerAddr, DataCentre: self.DataCentre, Region: self.Region}
 	m.link.SetResolver(m.resolve)
@@ -151,20 +151,20 @@
 	return nil
 }
 
-// OnView calls f with every new view. It must be called before Start.
+// OnView registers f to be called with every changed view. It must be called before Start.
 func (m *Members) OnView(f func(View)) { m.onView = append(m.onView, f) }
 
-// Carry has gossip carry what a module adds to it. It must be called before Start;
-// what others added comes with their envelopes.
-func (m *Members) Carry(add func(*peerpb.Gossip)) { m.carry = append(m.carry, add) }
+// Carry registers a function that adds a module's fields to outgoing gossip. It must be
+// called before Start; receivers read the fields from the gossip envelope.
+func (m *Members) Carry(add func(*peerpb.Gossip)) { m.gossipHooks = append(m.gossipHooks, add) }
 
 // Start implements auburnmoor.Starter.
 func (m *Members) Start(ctx context.Context) error {
-	m.contacts(nil)
+	m.setContacts(nil)
 	go m.run(ctx)
 	go m.pollList(ctx)
 	if m.registrar != nil {
-		go m.keepListed(ctx)
+		go m.keepRegistered(ctx)
 	}
 	return nil
 }
@@ -189,8 +189,8 @@
 	}
 }
 
-// tellOfSilence tells the other cells of mates that fell silent.
-func (m *Members) tellOfSilence() {
+// reportSilentMates reports mates that fell silent to all instances, other cells included.
+func (m *Members) reportSilentMates() {
 	m.mu.Lock()
 	silent := m.table.Silent(m.now())
 	m.mu.Unlock()
@@ -201,11 +201,11 @@
 	}
 }
 
-// checkEvery is how often silence is looked for and gossip is considered.
-const checkEvery = 100 * time.Millisecond
+// checkInterval is the interval of checks for silent members and due gossip.
+const checkInterval = 100 * time.Millisecond
 
 func (m *Members) run(ctx context.Context) {
-	t := time.NewTicker(checkEvery)
+	t := time.NewTicker(checkInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -213,14 +213,14 @@
 			return
 		case g := <-m.inbox.C():
 			if m.merge(g) {
-				m.answer()
+				m.answerUnknown()
 				m.publish()
 			}
 		case <-t.C:
-			m.tellOfSilence()
+			m.reportSilentMates()
 			m.gossip(false)
 			m.publish()
-		case <-m.spread:
+		case <-m.gossipNow:
 			m.gossip(true)
 		}
 	}
@@ -232,42 +232,42 @@
 	return m.table.Receive(m.now(), g)
 }
 
-func (m *Members) gossip(atOnce bool) {
+func (m *Members) gossip(immediate bool) {
 	m.mu.Lock()
 	msgs := m.table.Tick(m.now())
 	leaving := m.leaving
-	if atOnce && !leaving {
+	if immediate && !leaving {
 		msgs = append(msgs, m.table.Spread(m.now())...)
 	}
 	m.mu.Unlock()
-	if atOnce && leaving {
-		m.announce()
+	if immediate && leaving {
+		m.announceLeaving()
 	}
 	m.send(msgs)
 }
 
-// answer gossips with members that spoke to this one before it knew them.
-func (m *Members) answer() {
+// answerUnknown sends gossip to members that sent messages to this instance before it knew them.
+func (m *Members) answerUnknown() {
 	m.mu.Lock()
 	msgs := m.table.Answers(m.now())
 	m.mu.Unlock()
 	m.send(msgs)
 }
 
-// send gossips. Instances that are no neighbours get what fits into a datagram: when all of
-// a large fleet start at once, each would otherwise open a connection to most others
-// before it knows its cell, and the memory of that stays taken.
+// send sends gossip. Instances that are not neighbours get what fits into a datagram.
+// Otherwise, when all of a large fleet start at once, each would open connections to most
+// others before it knows its cell, and the memory of those is never freed.
 func (m *Members) send(msgs []member.Message) {
 	m.mu.Lock()
-	near := m.neighbours
+	partners := m.neighbours
 	known := len(m.view.Alive)
 	m.mu.Unlock()
 	for _, msg := range msgs {
-		for _, add := range m.carry {
+		for _, add := range m.gossipHooks {
 			add(msg.Gossip)
 		}
 		env := &peerpb.Envelope{Body: &peerpb.Envelope_Gossip{Gossip: msg.Gossip}}
-		if near[msg.To] || len(near) == 0 && known <= mostConnected {
+		if partners[msg.To] || len(partners) == 0 && known <= maxConnectedFleet {
 			m.link.Send(msg.To, env)
 			continue
 		}
@@ -278,20 +278,20 @@
 	}
 }
 
-// mostConnected is the size of a fleet up to which gossip uses connections while the
-// neighbours are not known: one cell.
-const mostConnected = 56
+// maxConnectedFleet is the fleet size up to which gossip uses connections while the neighbours
+// are unknown. Such a fleet is one cell.
+const maxConnectedFleet = 56
 
-// announce tells all members that this instance leaves. A datagram may be lost: it is told
-// to the neighbours over their connections as well, and gossip tells it to the others.
-func (m *Members) announce() {
+// announceLeaving informs all members that this instance leaves: neighbours over connections, the
+// others by datagram. Gossip repeats it where a datagram is lost.
+func (m *Members) announceLeaving() {
 	m.mu.Lock()
 	msgs := m.table.Announce(m.now())
-	near := m.neighbours
+	partners := m.neighbours
 	m.mu.Unlock()
 	for _, msg := range msgs {
 		env := &peerpb.Envelope{Body: &peerpb.Envelope_Gossip{Gossip: msg.Gossip}}
-		if len(near) == 0 || near[msg.To] {
+		if len(partners) == 0 || partners[msg.To] {
 			m.link.Send(msg.To, env)
 			continue
 		}
@@ -299,7 +299,7 @@
 	}
 }
 
-// SetNeighbours tells with whom this instance gossips; the zero value is all.
+// SetNeighbours sets the gossip partners of this instance; the zero value means all.
 func (m *Members) SetNeighbours(n member.Neighbours) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -310,21 +310,21 @@
 	}
 }
 
-// Neighbours returns the names of the live instances with which this one gossips.
+// Neighbours returns the names of the live gossip partners of this instance.
 func (m *Members) Neighbours() []string {
 	m.mu.Lock()
-	near := m.neighbours
+	partners := m.neighbours
 	m.mu.Unlock()
-	if len(near) == 0 {
+	if len(partners) == 0 {
 		return m.Peers()
 	}
-	return slices.DeleteFunc(m.Peers(), func(name string) bool { return !near[name] })
+	return slices.DeleteFunc(m.Peers(), func(name string) bool { return !partners[name] })
 }
 
-// SpreadNow gossips without waiting for the next period.
+// SpreadNow triggers gossip without waiting for the next round.
 func (m *Members) SpreadNow() {
 	select {
-	case m.spread <- struct{}{}:
+	case m.gossipNow <- struct{}{}:
 	default:
 	}
 }
@@ -354,9 +354,8 @@
 	m.SpreadNow()
 }
 
-// contacts takes over a new list. The last one stays in force while the list
-// cannot be read.
-func (m *Members) contacts(list []instances.Instance) {
+// setContacts applies a new instance list. A nil list keeps the last one in force.
+func (m *Members) setContacts(list []instances.Instance) {
 	var cs []member.Contact
 	for name, addr := range m.Seeds {
 		cs = append(cs, member.Contact{Name: name, PeerAddr: addr})
@@ -370,22 +369,22 @@
 	defer m.mu.Unlock()
 	m.table.SetContacts(cs)
 	if list != nil {
-		m.last = list
+		m.lastList = list
 	}
 }
 
-// publish computes the view and tells the listeners when it changed.
+// publish rebuilds the view and notifies the listeners if it changed.
 func (m *Members) publish() {
-	// Listeners must see views in the order in which they were built.
-	m.publishing.Lock()
-	defer m.publishing.Unlock()
+	// Listeners must receive views in the order in which they were built.
+	m.publishMu.Lock()
+	defer m.publishMu.Unlock()
 	m.mu.Lock()
-	v := m.build()
-	key := viewKey(v)
-	changed := key != m.key
-	m.view, m.key = v, key
+	v := m.buildView()
+	digest := digestOf(v)
+	changed := digest != m.viewDigest
+	m.view, m.viewDigest = v, digest
 	if changed {
-		m.standing = m.stand(v.Alive)
+		m.standing = m.computeStanding(v.Alive)
 	}
 	m.mu.Unlock()
 	if !changed {
@@ -397,8 +396,8 @@
 	}
 }
 
-// stand finds this instance's place among those of its data centre.
-func (m *Members) stand(alive []*peerpb.MemberState) watch.Standing {
+// computeStanding computes this instance's rank among the instances of its data centre.
+func (m *Members) computeStanding(alive []*peerpb.MemberState) watch.Standing {
 	var self watch.Member
 	others := make([]watch.Member, 0, len(alive))
 	for _, s := range alive {
@@ -412,17 +411,17 @@
 	return watch.Stand(self, others)
 }
 
-// Standing is the place of this instance among those of its data centre.
+// Standing returns the rank of this instance among those of its data centre.
 func (m *Members) Standing() watch.Standing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.standing
 }
 
-func (m *Members) build() View {
+func (m *Members) buildView() View {
 	v := View{Alive: m.table.Alive(m.now())}
 	engines := map[string]Engine{}
-	for _, in := range m.last {
+	for _, in := range m.lastList {
 		switch in.Role {
 		case instances.RoleEngine:
 			engines[in.Name] = Engine{Name: in.Name, Addr: in.Addr, DataCentre: in.DataCentre, Fencing: in.Fencing, Leaving: in.Leaving}
@@ -430,15 +429,15 @@
 			v.Services = append(v.Services, in)
 		}
 	}
-	// The last word on an engine stays in force while it has no live owner, so
-	// that a change of owner does not make the engine vanish.
+	// The last state of an engine stays valid while it has no live owner, so that a
+	// change of owner does not remove the engine from the view.
 	for _, s := range v.Alive {
 		for _, es := range s.Engines {
 			m.states[es.Name] = es
 		}
 	}
 	for _, es := range m.states {
-		addEngineState(engines, es, m.last == nil)
+		addEngineState(engines, es, m.lastList == nil)
 	}
 	for _, e := range engines {
 		v.Engines = append(v.Engines, e)
@@ -447,11 +446,11 @@
 	return v
 }
 
-// addEngineState merges what an owner says. Without an instance list (the
-// platform was down since this process began) the owners' word is all there is.
-func addEngineState(engines map[string]Engine, es *peerpb.EngineState, noList bool) {
+// addEngineState merges an engine's state as its owner reports it. Without an instance list
+// (the platform was down since this process started) the owners are the only source.
+func addEngineState(engines map[string]Engine, es *peerpb.EngineState, listUnknown bool) {
 	e, listed := engines[es.Name]
-	if !listed && !noList {
+	if !listed && !listUnknown {
 		return
 	}
 	if !listed {
@@ -462,14 +461,14 @@
 	engines[es.Name] = e
 }
 
-// View returns the present view.
+// View returns the current view.
 func (m *Members) View() View {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view
 }
 
-// Peers returns the names of the live instances but this one.
+// Peers returns the names of all live instances except this one.
 func (m *Members) Peers() []string {
 	var out []string
 	for _, s := range m.View().Alive {
