--- a/control/claims/claims.go
+++ b/control/claims/claims.go
@@ -1,5 +1,5 @@
-// Package claims drives the ledgers of package claim: it owns some shards,
-// answers claims of other instances and claims keys for its own callers.
+// Package claims runs the ledgers of package claim: it owns some shards of the idempotency
+// keys, answers claims of other instances and claims keys for this instance's callers.
 package claims
 
 import (
@@ -29,26 +29,26 @@
 
 // Claims is the module "control.claims".
 type Claims struct {
-	// Spacing is the least time between two commits of a ledger.
+	// Spacing is the minimum interval between two commits of a ledger.
 	Spacing settings.Duration `toml:"spacing"`
-	// KeepKeys is how long an idempotency key is remembered.
+	// KeepKeys is how long an idempotency key is retained.
 	KeepKeys settings.Duration `toml:"keep_keys"`
-	// KeepAnswers is how long a finished answer stays available to its key.
+	// KeepAnswers is how long a finished answer is retained for replay.
 	KeepAnswers settings.Duration `toml:"keep_answers"`
 
-	self   string
-	log    *zap.Logger
-	now    func() time.Duration
-	store  *objectapi.Client
-	link   *peerlink.Link
-	events *ring.Ring[claim.Event]
-	calls  *ring.Ring[claim.Action]
-	dumps  chan chan claim.Dump
+	self         string
+	log          *zap.Logger
+	now          func() time.Duration
+	store        *objectapi.Client
+	link         *peerlink.Link
+	events       *ring.Ring[claim.Event]
+	storeCalls   *ring.Ring[claim.Action]
+	dumpRequests chan chan claim.Dump
 
-	mu      sync.Mutex
-	owners  []string
-	granted claim.GrantLog
-	waiting map[string]chan *peerpb.ClaimReply
+	mu         sync.Mutex
+	owners     []string
+	granted    claim.GrantLog
+	replyChans map[string]chan *peerpb.ClaimReply
 }
 
 // ModuleInfo implements auburnmoor.Module.
@@ -64,9 +64,9 @@
 	ringSize     = 4096
 	storeWorkers = claim.Shards
 	storeTimeout = 4 * time.Second
-	tickEvery    = 20 * time.Millisecond
-	// resendEvery repeats a claim whose request or reply was lost.
-	resendEvery = 300 * time.Millisecond
+	tickInterval = 20 * time.Millisecond
+	// resendInterval is the interval at which a claim without reply is repeated.
+	resendInterval = 300 * time.Millisecond
 )
 
 // Provision implements auburnmoor.Provisioner.
@@ -78,18 +78,18 @@
 	if c.link, err = auburnmoor.Require[*peerlink.Link](ctx, peerlink.ID); err != nil {
 		return err
 	}
-	mem, err := auburnmoor.Require[*members.Members](ctx, members.ID)
+	membership, err := auburnmoor.Require[*members.Members](ctx, members.ID)
 	if err != nil {
 		return err
 	}
 	c.self, c.log, c.now, c.store = ctx.Self.Name, ctx.Log, ctx.Now, p.Store()
 	c.events = ring.New[claim.Event]("claims.events", ringSize)
-	c.calls = ring.New[claim.Action]("claims.store", ringSize)
-	c.dumps = make(chan chan claim.Dump)
-	c.waiting = map[string]chan *peerpb.ClaimReply{}
+	c.storeCalls = ring.New[claim.Action]("claims.store", ringSize)
+	c.dumpRequests = make(chan chan claim.Dump)
+	c.replyChans = map[string]chan *peerpb.ClaimReply{}
 	c.link.Handle(c.receive)
-	mem.Carry(func(g *peerpb.Gossip) { g.StoreEra = c.store.Era() })
-	mem.OnView(c.replaceView)
+	membership.Carry(func(g *peerpb.Gossip) { g.StoreEra = c.store.Era() })
+	membership.OnView(c.updateOwners)
 	return nil
 }
 
@@ -110,16 +110,16 @@
 // Start implements auburnmoor.Starter.
 func (c *Claims) Start(ctx context.Context) error {
 	go c.run(ctx)
-	go c.settled(ctx)
+	go c.startOwnership(ctx)
 	for range storeWorkers {
-		go c.callStore(ctx)
+		go c.runStoreCalls(ctx)
 	}
 	return nil
 }
 
 func (c *Claims) run(ctx context.Context) {
 	m := claim.New(c.self, c.config())
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		var ev claim.Event = claim.Tick{}
@@ -128,41 +128,41 @@
 			return
 		case ev = <-c.events.C():
 		case <-t.C:
-			c.retell()
+			c.resendGranted()
 			ev = claim.EraReported{Era: c.store.Era()}
-			c.carryOut(m.Step(c.now(), time.Now().Unix(), ev))
+			c.executeActions(m.Step(c.now(), time.Now().Unix(), ev))
 			ev = claim.Tick{}
-		case out := <-c.dumps:
+		case out := <-c.dumpRequests:
 			out <- m.Dump()
 			continue
 		}
-		c.carryOut(m.Step(c.now(), time.Now().Unix(), ev))
+		c.executeActions(m.Step(c.now(), time.Now().Unix(), ev))
 	}
 }
 
-func (c *Claims) carryOut(actions []claim.Action) {
+func (c *Claims) executeActions(actions []claim.Action) {
 	for _, a := range actions {
 		if r, ok := a.(claim.Reply); ok {
-			c.deliver(r)
+			c.sendReply(r)
 			continue
 		}
-		// A call that finds no room never answers; the ledger then treats its
-		// outcome as unknown.
-		c.calls.Offer(a)
+		// A call that is dropped by a full ring never completes; the ledger then treats
+		// its outcome as unknown.
+		c.storeCalls.Offer(a)
 	}
 }
 
-func (c *Claims) deliver(r claim.Reply) {
+func (c *Claims) sendReply(r claim.Reply) {
 	if r.To != c.self {
 		c.link.Send(r.To, &peerpb.Envelope{Body: &peerpb.Envelope_ClaimReply{ClaimReply: r.Reply}})
 		return
 	}
-	c.answer(r.Reply)
+	c.deliverReply(r.Reply)
 }
 
-func (c *Claims) answer(r *peerpb.ClaimReply) {
+func (c *Claims) deliverReply(r *peerpb.ClaimReply) {
 	c.mu.Lock()
-	ch := c.waiting[r.RequestId]
+	ch := c.replyChans[r.RequestId]
 	c.mu.Unlock()
 	if ch == nil {
 		return
@@ -173,26 +173,26 @@
 	}
 }
 
-func (c *Claims) callStore(ctx context.Context) {
+func (c *Claims) runStoreCalls(ctx context.Context) {
 	for {
-		a, ok := c.calls.Take(ctx)
+		a, ok := c.storeCalls.Take(ctx)
 		if !ok {
 			return
 		}
 		cctx, cancel := context.WithTimeout(ctx, storeTimeout)
-		c.carryOutCall(cctx, a)
+		c.executeStoreCall(cctx, a)
 		cancel()
 	}
 }
 
-// retell tells the owners of ledgers of the claims that were granted here, when the store
-// may have lost them.
-func (c *Claims) retell() {
+// resendGranted sends the claims granted to this instance to the ledgers' owners again when the
+// store may have lost them.
+func (c *Claims) resendGranted() {
 	c.mu.Lock()
-	due := c.granted.NextReclaims(c.now(), c.store.Era())
+	reclaims := c.granted.NextReclaims(c.now(), c.store.Era())
 	c.mu.Unlock()
 	remote := map[string][]*peerpb.Reclaim{}
-	for _, r := range due {
+	for _, r := range reclaims {
 		owner := c.ownerOf(r.Customer, r.Key)
 		if owner == c.self {
 			c.events.Offer(claim.Reclaimed{Claim: r})
@@ -205,7 +205,7 @@
 	}
 }
 
-func (c *Claims) carryOutCall(ctx context.Context, a claim.Action) {
+func (c *Claims) executeStoreCall(ctx context.Context, a claim.Action) {
 	switch a := a.(type) {
 	case claim.List:
 		era := c.store.Era()
@@ -232,34 +232,35 @@
 	case *peerpb.Envelope_ClaimResult:
 		c.events.Offer(claim.ResultReported{Result: b.ClaimResult})
 	case *peerpb.Envelope_ClaimReply:
-		c.answer(b.ClaimReply)
+		c.deliverReply(b.ClaimReply)
 	}
 }
 
-func (c *Claims) replaceView(v members.View) {
+func (c *Claims) updateOwners(v members.View) {
 	owners := member.Owners(v.Alive)
 	c.mu.Lock()
 	c.owners = owners
 	c.mu.Unlock()
-	if c.now() >= settle {
-		c.events.Offer(c.owned())
+	if c.now() >= settlePeriod {
+		c.events.Offer(c.ownedShards())
 	}
 }
 
-// settle is the time after the start in which no ledger is taken over. An
-// instance that has heard of no other believes that it owns everything; taking
-// over ledgers then would depose their true owners and delay their claims.
-const settle = 2 * time.Second
+// settlePeriod is the time after start in which no ledger is taken over. An instance that does
+// not know its peers yet computes that it owns all shards; taking over their ledgers would
+// depose the right owners and delay their claims.
+const settlePeriod = 2 * time.Second
 
-func (c *Claims) settled(ctx context.Context) {
+// startOwnership takes over the ledgers that this instance owns after settlePeriod.
+func (c *Claims) startOwnership(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(settle):
-		c.events.Offer(c.owned())
+	case <-time.After(settlePeriod):
+		c.events.Offer(c.ownedShards())
 	}
 }
 
-func (c *Claims) owned() claim.OwnershipChanged {
+func (c *Claims) ownedShards() claim.OwnershipChanged {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return claim.ShardsOwnedBy(c.self, c.owners)
@@ -271,23 +272,23 @@
 	return claim.OwnerOf(customer, key, c.owners)
 }
 
-// Claim asks the owner of the key's ledger until it answers or ctx ends. An
-// error means that nothing was granted to this request, unless a grant comes
-// late; the caller must then not run the request.
+// Claim sends the claim to the owner of the key's ledger until it replies or ctx ends. After
+// an error the caller must not run the request: no grant was received, though one may still
+// be on its way.
 func (c *Claims) Claim(ctx context.Context, req *peerpb.Claim) (*peerpb.ClaimReply, error) {
 	ch := make(chan *peerpb.ClaimReply, 1)
 	c.mu.Lock()
-	c.waiting[req.RequestId] = ch
+	c.replyChans[req.RequestId] = ch
 	c.mu.Unlock()
 	defer func() {
 		c.mu.Lock()
-		delete(c.waiting, req.RequestId)
+		delete(c.replyChans, req.RequestId)
 		c.mu.Unlock()
 	}()
-	t := time.NewTicker(resendEvery)
+	t := time.NewTicker(resendInterval)
 	defer t.Stop()
 	for {
-		c.toOwner(req.Customer, req.Key, claim.ClaimRequested{From: c.self, Claim: req}, &peerpb.Envelope{Body: &peerpb.Envelope_Claim{Claim: req}})
+		c.sendToOwner(req.Customer, req.Key, claim.ClaimRequested{From: c.self, Claim: req}, &peerpb.Envelope{Body: &peerpb.Envelope_Claim{Claim: req}})
 		select {
 		case r := <-ch:
 			if r.State == peerpb.ClaimState_CLAIM_GRANTED {
@@ -303,12 +304,13 @@
 	}
 }
 
-// Record tells the ledger what became of a claimed request.
+// Record reports the result of a claimed request to the ledger's owner.
 func (c *Claims) Record(res *peerpb.ClaimResult) {
-	c.toOwner(res.Customer, res.Key, claim.ResultReported{Result: res}, &peerpb.Envelope{Body: &peerpb.Envelope_ClaimResult{ClaimResult: res}})
+	c.sendToOwner(res.Customer, res.Key, claim.ResultReported{Result: res}, &peerpb.Envelope{Body: &peerpb.Envelope_ClaimResult{ClaimResult: res}})
 }
 
-func (c *Claims) toOwner(customer, key string, local claim.Event, remote *peerpb.Envelope) {
+// sendToOwner delivers an event to the ledger's owner: local to this instance, remote to a peer.
+func (c *Claims) sendToOwner(customer, key string, local claim.Event, remote *peerpb.Envelope) {
 	owner := c.ownerOf(customer, key)
 	if owner == c.self {
 		c.events.Offer(local)
@@ -319,10 +321,10 @@
 
 // Dump implements auburnmoor.Dumper.
 func (c *Claims) Dump() any {
-	d := Dump{Rings: []ring.Stats{c.events.Stats(), c.calls.Stats()}}
+	d := Dump{Rings: []ring.Stats{c.events.Stats(), c.storeCalls.Stats()}}
 	out := make(chan claim.Dump, 1)
 	select {
-	case c.dumps <- out:
+	case c.dumpRequests <- out:
 		d.Ledgers = <-out
 	case <-time.After(time.Second):
 	}
