--- a/control/orders/orders.go
+++ b/control/orders/orders.go
@@ -1,5 +1,5 @@
-// Package orders brings engines into line with the manifest. One instance at a
-// time holds the lease to give orders.
+// Package orders reconciles engines with the manifest by sending them orders. One instance
+// at a time holds the lease that permits it.
 package orders
 
 import (
@@ -31,26 +31,26 @@
 
 // Orders is the module "control.orders".
 type Orders struct {
-	// Candidates is the number of instances that try to hold the lease; the
-	// others save the store their reads.
+	// Candidates is the number of instances that compete for the lease; the others do not
+	// read it, which reduces load on the store.
 	Candidates int `toml:"candidates" validate:"min=0,max=9"`
 
-	self    string
-	log     *zap.Logger
-	now     func() time.Duration
-	store   objectapi.Store
-	weights *weights.Client
-	engines *engine.Client
-	mem     *members.Members
-	conf    *config.Config
-	planner *rollout.Planner
-	results chan lease.Event
-
-	mu      sync.Mutex
-	lease   *lease.Lease
-	given   uint64
-	refused uint64
-	last    []string
+	self        string
+	log         *zap.Logger
+	now         func() time.Duration
+	store       objectapi.Store
+	weights     *weights.Client
+	engines     *engine.Client
+	members     *members.Members
+	conf        *config.Config
+	planner     *rollout.Planner
+	leaseEvents chan lease.Event
+
+	mu           sync.Mutex
+	lease        *lease.Lease
+	orderCount   uint64
+	refusedCount uint64
+	recentOrders []string
 }
 
 // ModuleInfo implements auburnmoor.Module.
@@ -65,11 +65,11 @@
 const (
 	defaultCandidates = 3
 	leaseKey          = "lease/orders"
-	tickEvery         = 200 * time.Millisecond
-	planEvery         = 500 * time.Millisecond
+	tickInterval      = 200 * time.Millisecond
+	planInterval      = 500 * time.Millisecond
 	dialTimeout       = time.Second
 	storeTimeout      = 3 * time.Second
-	maxLast           = 50
+	maxRecentOrders   = 50
 )
 
 // Provision implements auburnmoor.Provisioner.
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	if o.mem, err = auburnmoor.Require[*members.Members](c, members.ID); err != nil {
+	if o.members, err = auburnmoor.Require[*members.Members](c, members.ID); err != nil {
 		return err
 	}
 	if o.conf, err = auburnmoor.Require[*config.Config](c, config.ID); err != nil {
@@ -92,7 +92,7 @@
 	o.engines = engine.NewClient(dialTimeout)
 	o.planner = rollout.NewPlanner(rollout.DefaultConfig())
 	o.lease = lease.New(fmt.Sprintf("%s~%x", c.Self.Name, c.Self.Incarnation), lease.DefaultConfig())
-	o.results = make(chan lease.Event, 4)
+	o.leaseEvents = make(chan lease.Event, 4)
 	return nil
 }
 
@@ -103,41 +103,41 @@
 }
 
 func (o *Orders) run(ctx context.Context) {
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
-	planAt := time.Duration(0)
+	nextPlan := time.Duration(0)
 	for {
 		var ev lease.Event = lease.Tick{}
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-		case ev = <-o.results:
+		case ev = <-o.leaseEvents:
 		}
-		o.step(ctx, ev)
-		if now := o.now(); now >= planAt && o.mayOrder() {
-			planAt = now + planEvery
-			o.plan(ctx)
+		o.stepLease(ctx, ev)
+		if now := o.now(); now >= nextPlan && o.mayOrder() {
+			nextPlan = now + planInterval
+			o.sendDueOrders(ctx)
 		}
 	}
 }
 
-func (o *Orders) step(ctx context.Context, ev lease.Event) {
-	owners := member.Owners(o.mem.View().Alive)
+func (o *Orders) stepLease(ctx context.Context, ev lease.Event) {
+	owners := member.Owners(o.members.View().Alive)
 	candidate := place.InTop(o.self, leaseKey, owners, o.Candidates)
 	o.mu.Lock()
-	o.lease.SetEligible(candidate && !o.mem.Leaving())
+	o.lease.SetEligible(candidate && !o.members.Leaving())
 	var actions []lease.Action
 	if candidate {
 		actions = o.lease.Step(o.now(), ev)
 	}
 	o.mu.Unlock()
 	for _, a := range actions {
-		go o.call(ctx, a)
+		go o.callStore(ctx, a)
 	}
 }
 
-func (o *Orders) call(ctx context.Context, a lease.Action) {
+func (o *Orders) callStore(ctx context.Context, a lease.Action) {
 	cctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	var ev lease.Event
@@ -151,7 +151,7 @@
 		ev = lease.Wrote{WriteID: a.WriteID, Version: version, Err: err, Era: era}
 	}
 	select {
-	case o.results <- ev:
+	case o.leaseEvents <- ev:
 	case <-ctx.Done():
 	}
 }
@@ -162,48 +162,48 @@
 	return o.lease.MayOrder(o.now())
 }
 
-// plan gives the orders that are due, one after the other. The lease is asked
-// again before each, since any of them may take long.
-func (o *Orders) plan(ctx context.Context) {
-	ix := o.conf.Index()
-	if ix == nil {
+// sendDueOrders sends the orders that are due, one after the other. The lease is checked before each
+// one, since any of them may take long.
+func (o *Orders) sendDueOrders(ctx context.Context) {
+	index := o.conf.Index()
+	if index == nil {
 		return
 	}
-	var known []rollout.Engine
+	var knownEngines []rollout.Engine
 	addrs := map[string]string{}
-	for _, e := range o.mem.View().Engines {
+	for _, e := range o.members.View().Engines {
 		if e.State == nil {
 			continue
 		}
 		addrs[e.Name] = e.Addr
-		known = append(known, rollout.Engine{Name: e.Name, Models: e.State.Models, Role: e.State.Role, Leaving: e.Leaving})
+		knownEngines = append(knownEngines, rollout.Engine{Name: e.Name, Models: e.State.Models, Role: e.State.Role, Leaving: e.Leaving})
 	}
-	for _, s := range o.planner.Next(o.now(), ix.Manifest, known) {
-		if !o.give(ctx, s, addrs[s.Engine]) {
+	for _, s := range o.planner.Next(o.now(), index.Manifest, knownEngines) {
+		if !o.sendOrder(ctx, s, addrs[s.Engine]) {
 			return
 		}
 	}
 }
 
-// give gives one order and reports whether more may be given.
-func (o *Orders) give(ctx context.Context, s rollout.Step, addr string) bool {
+// sendOrder sends one order and reports whether more may be sent.
+func (o *Orders) sendOrder(ctx context.Context, s rollout.Step, addr string) bool {
 	cctx, cancel := context.WithTimeout(ctx, lease.DefaultConfig().MaxOrderTime)
 	defer cancel()
 	if s.Order.Kind == engine.OrderLoad {
 		if err := o.weights.Reserve(cctx, s.Order.Target); err != nil {
-			o.note(s, err)
+			o.recordOrder(s, err)
 			return true
 		}
 	}
 	o.mu.Lock()
-	may := o.lease.MayOrder(o.now())
+	permitted := o.lease.MayOrder(o.now())
 	s.Order.Fence = o.lease.Fence()
 	o.mu.Unlock()
-	if !may {
+	if !permitted {
 		return false
 	}
 	err := o.engines.Order(cctx, addr, s.Order)
-	o.note(s, err)
+	o.recordOrder(s, err)
 	if errors.Is(err, engine.ErrStaleFence) {
 		o.mu.Lock()
 		o.lease.StepDown()
@@ -213,18 +213,18 @@
 	return true
 }
 
-func (o *Orders) note(s rollout.Step, err error) {
+func (o *Orders) recordOrder(s rollout.Step, err error) {
 	line := fmt.Sprintf("%s %s %s fence %d", s.Engine, s.Order.Kind, s.Order.Target, s.Order.Fence)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.given++
+	o.orderCount++
 	if err != nil {
-		o.refused++
+		o.refusedCount++
 		line += ": " + err.Error()
 	}
-	o.last = append(o.last, line)
-	if len(o.last) > maxLast {
-		o.last = o.last[len(o.last)-maxLast:]
+	o.recentOrders = append(o.recentOrders, line)
+	if len(o.recentOrders) > maxRecentOrders {
+		o.recentOrders = o.recentOrders[len(o.recentOrders)-maxRecentOrders:]
 	}
 	o.log.Info("order", zap.String("order", line))
 }
@@ -233,7 +233,7 @@
 func (o *Orders) Dump() any {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return Dump{Holder: o.lease.Holder(), Fence: o.lease.Fence(), MayOrder: o.lease.MayOrder(o.now()), Given: o.given, Refused: o.refused, Last: append([]string{}, o.last...)}
+	return Dump{Holder: o.lease.Holder(), Fence: o.lease.Fence(), MayOrder: o.lease.MayOrder(o.now()), Given: o.orderCount, Refused: o.refusedCount, Last: append([]string{}, o.recentOrders...)}
 }
 
 // Dump is the state of the module.
