--- a/control/quarantine/quarantine.go
+++ b/control/quarantine/quarantine.go
@@ -1,8 +1,8 @@
 // Package quarantine shares between instances which requests crash the backend servers
-// that run them, so that a request which ended servers at one instance is not run at the
-// next one that its client asks.
+// that run them, so that a request that crashed servers for one instance is not run by the
+// next one that its client tries.
 //
-// poison.Disseminator says how; while no server crashes nothing is sent.
+// poison.Disseminator describes the protocol. Nothing is sent while no server crashes.
 package quarantine
 
 import (
@@ -29,16 +29,16 @@
 func init() { auburnmoor.Register(new(Quarantine)) }
 
 const (
-	// gatherFor is how long changes are gathered into one message: a server that ends
-	// does so with all that it runs.
-	gatherFor = 10 * time.Millisecond
-	// expireEvery is how often records are looked through.
-	expireEvery = time.Second
+	// batchDelay is how long changes are batched into one message: a crashing server fails
+	// all of its running requests at once.
+	batchDelay = 10 * time.Millisecond
+	// expireInterval is the interval at which expired records are removed.
+	expireInterval = time.Second
 )
 
 // Quarantine is the module "control.quarantine".
 type Quarantine struct {
-	// Off refuses no request, whatever servers crash with it.
+	// Off disables refusals; crashes are still recorded and shared.
 	Off bool `toml:"off"`
 
 	log     *zap.Logger
@@ -48,13 +48,13 @@
 	scope   tally.Scope
 	changed chan struct{}
 
-	// known is the number of records, so that requests are not looked up, nor hashed for
-	// that, while there are none.
-	known atomic.Int64
+	// recordCount is the number of records. While it is zero, requests are neither hashed nor
+	// looked up.
+	recordCount atomic.Int64
 
-	mu    sync.Mutex
-	table *poison.Table
-	share *poison.Disseminator
+	mu           sync.Mutex
+	table        *poison.Table
+	disseminator *poison.Disseminator
 }
 
 // ModuleInfo implements auburnmoor.Module.
@@ -74,9 +74,9 @@
 		return err
 	}
 	q.log, q.now, q.scope, q.table = c.Log, c.Now, c.Scope, poison.NewTable()
-	q.share = poison.NewDisseminator(rand.New(rand.NewPCG(c.Seed, 4)))
+	q.disseminator = poison.NewDisseminator(rand.New(rand.NewPCG(c.Seed, 4)))
 	q.changed = make(chan struct{}, 1)
-	q.members.Carry(q.tellDigest)
+	q.members.Carry(q.addDigest)
 	q.link.Handle(q.receive)
 	return nil
 }
@@ -87,46 +87,46 @@
 	return nil
 }
 
-// Empty reports whether nothing is known against any request.
-func (q *Quarantine) Empty() bool { return q.known.Load() == 0 }
+// Empty reports whether there are no records of any request.
+func (q *Quarantine) Empty() bool { return q.recordCount.Load() == 0 }
 
-// Judge rules on a request that is about to be sent to one of so many servers.
+// Judge assesses a request before it is sent to one of the given number of servers.
 func (q *Quarantine) Judge(k poison.Key, servers int) (r poison.Assessment) {
 	if q.Off {
 		return r
 	}
-	q.on(func(t *poison.Table) { r = t.Assess(q.now(), k, servers) })
+	q.withTable(func(t *poison.Table) { r = t.Assess(q.now(), k, servers) })
 	return r
 }
 
-// Crashed notes that one of so many servers ended while it ran a request.
+// Crashed records that one of the given number of servers crashed while it ran a request.
 func (q *Quarantine) Crashed(k poison.Key, c poison.Crash, server string, servers int) {
-	q.on(func(t *poison.Table) {
+	q.withTable(func(t *poison.Table) {
 		t.AddCrash(q.now(), k, c)
 		r := t.Assess(q.now(), k, servers)
 		if r.Verdict != poison.Clean {
 			q.scope.Counter("suspect_requests_total").Inc(1)
-			q.log.Warn("request was part of several crashes of servers", zap.Stringer("identity", k), zap.Int("crashes", r.Crashes), zap.String("server", server))
+			q.log.Warn("request involved in several server crashes", zap.Stringer("identity", k), zap.Int("crashes", r.Crashes), zap.String("server", server))
 		}
 	})
 }
 
-// Failed notes that a client attempt ended without a server's answer.
+// Failed records that a client's request ended without an answer from a server.
 func (q *Quarantine) Failed(k poison.Key) {
-	q.on(func(t *poison.Table) { t.MarkFailed(k) })
+	q.withTable(func(t *poison.Table) { t.MarkFailed(k) })
 }
 
-// Answered notes that a server answered a request: it is not the cause of crashes.
+// Answered records that a server answered a request, which clears it of earlier crashes.
 func (q *Quarantine) Answered(k poison.Key) {
-	q.on(func(t *poison.Table) { t.MarkAnswered(q.now(), k) })
+	q.withTable(func(t *poison.Table) { t.MarkAnswered(q.now(), k) })
 }
 
-// on changes or reads the table.
-func (q *Quarantine) on(f func(*poison.Table)) {
+// withTable calls f with the table locked and schedules the sharing of changes that f made.
+func (q *Quarantine) withTable(f func(*poison.Table)) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	f(q.table)
-	q.known.Store(int64(q.table.Len()))
+	q.recordCount.Store(int64(q.table.Len()))
 	if q.table.HasChanges() {
 		q.wake()
 	}
@@ -140,29 +140,29 @@
 }
 
 func (q *Quarantine) run(ctx context.Context) {
-	t := time.NewTicker(expireEvery)
+	t := time.NewTicker(expireInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			q.on(func(t *poison.Table) { t.Expire(q.now()) })
+			q.withTable(func(t *poison.Table) { t.Expire(q.now()) })
 		case <-q.changed:
-			time.Sleep(gatherFor)
-			q.spread()
+			time.Sleep(batchDelay)
+			q.disseminate()
 		}
 	}
 }
 
-// spread passes changes on.
-func (q *Quarantine) spread() {
+// disseminate sends changes to randomly picked neighbours.
+func (q *Quarantine) disseminate() {
 	peers := q.members.Neighbours()
 	q.mu.Lock()
 	changes := q.table.TakeChanged()
-	next := q.share.PickPeers(len(peers))
+	picked := q.disseminator.PickPeers(len(peers))
 	q.mu.Unlock()
-	for _, i := range next {
+	for _, i := range picked {
 		q.send(peers[i], changes)
 	}
 }
@@ -174,30 +174,31 @@
 	q.link.Send(peer, &peerpb.Envelope{Body: &peerpb.Envelope_SuspectRequests{SuspectRequests: encode(q.now(), changes)}})
 }
 
-func (q *Quarantine) tellDigest(g *peerpb.Gossip) {
+// addDigest adds the digest of all records to gossip.
+func (q *Quarantine) addDigest(g *peerpb.Gossip) {
 	if q.Empty() {
 		return
 	}
-	q.on(func(t *poison.Table) { g.SuspectsDigest = t.Digest(q.now()) })
+	q.withTable(func(t *poison.Table) { g.SuspectsDigest = t.Digest(q.now()) })
 }
 
 func (q *Quarantine) receive(from string, env *peerpb.Envelope) {
 	switch {
 	case env.GetGossip() != nil:
-		q.compare(from, env.GetGossip().SuspectsDigest)
+		q.repairPeer(from, env.GetGossip().SuspectsDigest)
 	case env.GetSuspectRequests() != nil:
 		q.merge(env.GetSuspectRequests())
 	}
 }
 
-// compare tells a peer all that is known here if it knows something else.
-func (q *Quarantine) compare(peer string, digest uint64) {
+// repairPeer sends all records to a peer whose digest differs, if a repair is due.
+func (q *Quarantine) repairPeer(peer string, digest uint64) {
 	if q.Empty() {
 		return
 	}
 	var all poison.Changes
-	q.on(func(t *poison.Table) {
-		if now := q.now(); q.share.ShouldRepair(now, t.Digest(now), digest) {
+	q.withTable(func(t *poison.Table) {
+		if now := q.now(); q.disseminator.ShouldRepair(now, t.Digest(now), digest) {
 			all.Records = t.All()
 		}
 	})
@@ -205,7 +206,7 @@
 }
 
 func (q *Quarantine) merge(in *peerpb.SuspectRequests) {
-	q.on(func(t *poison.Table) {
+	q.withTable(func(t *poison.Table) {
 		now := q.now()
 		for _, r := range in.Requests {
 			if rec, ok := decode(now, r); ok {
@@ -218,17 +219,17 @@
 	})
 }
 
-// Operate implements auburnmoor.Operable: "clear" ends what is known against a request, at
-// all instances, as an answer to it does.
+// Operate implements auburnmoor.Operable: "clear" clears a request at all instances, in the
+// same way as an answer to it.
 func (q *Quarantine) Operate(action, subject string) error {
 	if action != "clear" {
-		return errors.Newf("unknown action %q, there is \"clear\"", action)
+		return errors.Newf("unknown action %q, supported: \"clear\"", action)
 	}
 	k, err := poison.ParseKey(subject)
 	if err != nil {
 		return err
 	}
-	q.log.Info("an operator cleared a request", zap.Stringer("identity", k))
+	q.log.Info("request cleared by an operator", zap.Stringer("identity", k))
 	q.Answered(k)
 	return nil
 }
@@ -236,37 +237,37 @@
 // Dump implements auburnmoor.Dumper.
 func (q *Quarantine) Dump() any {
 	d := Dump{}
-	q.on(func(t *poison.Table) {
+	q.withTable(func(t *poison.Table) {
 		now := q.now()
 		d.ServerEnds = t.ExitCount()
 		for _, r := range t.All() {
-			ruling := t.Assess(now, r.Key, 0)
+			assessment := t.Assess(now, r.Key, 0)
 			d.Requests = append(d.Requests, DumpRequest{
-				Identity: r.Key.String(), Crashes: len(r.Crashes), Successive: ruling.Crashes, Refused: ruling.Verdict == poison.Poisonous,
-				RetryAfterMS: ruling.RetryAfter.Milliseconds(), ChangedMS: (now - r.Changed).Milliseconds(),
+				Identity: r.Key.String(), Crashes: len(r.Crashes), Successive: assessment.Crashes, Refused: assessment.Verdict == poison.Poisonous,
+				RetryAfterMS: assessment.RetryAfter.Milliseconds(), ChangedMS: (now - r.Changed).Milliseconds(),
 			})
 		}
 	})
 	return d
 }
 
-// Dump is what is known against requests.
+// Dump is the state of the module.
 type Dump struct {
-	// ServerEnds is the number of servers that ended in the last seconds.
+	// ServerEnds is the number of recent server exits.
 	ServerEnds int           `json:"server_ends"`
 	Requests   []DumpRequest `json:"requests,omitempty"`
 }
 
-// DumpRequest is one request that was part of crashes.
+// DumpRequest is a request that was running when servers crashed.
 type DumpRequest struct {
 	Identity string `json:"identity"`
-	// Crashes is the number of crashes since its last answer, Successive those that
-	// speak against it.
+	// Crashes is the number of crashes since its last answer, Successive the number of
+	// those that count as evidence against it.
 	Crashes    int  `json:"crashes"`
 	Successive int  `json:"successive"`
 	Refused    bool `json:"refused"`
-	// RetryAfterMS is when it may be tried again, ChangedMS how long ago the last crash
-	// or answer was.
+	// RetryAfterMS is the time until it may be tried again, ChangedMS the time since the
+	// last crash or answer.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
 	ChangedMS    int64 `json:"changed_ms"`
 }
--- a/control/quarantine/wire.go
+++ b/control/quarantine/wire.go
@@ -7,7 +7,7 @@
 	"github.com/auburnmoor/auburnmoor/peerpb"
 )
 
-// encode tells times as ages, because instances have no common clock.
+// encode encodes changes, with ages instead of times because instances have no common clock.
 func encode(now time.Duration, changes poison.Changes) *peerpb.SuspectRequests {
 	out := &peerpb.SuspectRequests{}
 	for _, e := range changes.Exits {
@@ -25,7 +25,7 @@
 	return out
 }
 
-// decode reports whether a record makes sense.
+// decode decodes a record. It returns false if the key has the wrong length.
 func decode(now time.Duration, p *peerpb.SuspectRequest) (r poison.Record, ok bool) {
 	if len(p.Key) != len(r.Key) {
 		return r, false
