--- a/control/reaper/reaper.go
+++ b/control/reaper/reaper.go
@@ -1,4 +1,4 @@
-// Package reaper cancels streams and held KV caches whose instance died.
+// Package reaper cancels the streams and held KV caches of instances that have failed.
 package reaper
 
 import (
@@ -24,11 +24,11 @@
 
 // Reaper is the module "control.reaper".
 type Reaper struct {
-	log     *zap.Logger
-	now     func() time.Duration
-	mem     *members.Members
-	disp    *dispatcher.Dispatcher
-	reports *ring.Ring[engine.Report]
+	log        *zap.Logger
+	now        func() time.Duration
+	members    *members.Members
+	dispatcher *dispatcher.Dispatcher
+	reports    *ring.Ring[engine.Report]
 
 	mu      sync.Mutex
 	tracker *orphan.Tracker
@@ -46,18 +46,18 @@
 const (
 	ringSize      = 256
 	cancelTimeout = 2 * time.Second
-	// youngView is the time after the start in which members may be missing
-	// from the view though they live.
-	youngView = 10 * time.Second
+	// viewWarmUp is the time after start in which live members may still be missing from
+	// the view.
+	viewWarmUp = 10 * time.Second
 )
 
 // Provision implements auburnmoor.Provisioner.
 func (r *Reaper) Provision(c *auburnmoor.Context) error {
 	var err error
-	if r.mem, err = auburnmoor.Require[*members.Members](c, members.ID); err != nil {
+	if r.members, err = auburnmoor.Require[*members.Members](c, members.ID); err != nil {
 		return err
 	}
-	if r.disp, err = auburnmoor.Require[*dispatcher.Dispatcher](c, dispatcher.ID); err != nil {
+	if r.dispatcher, err = auburnmoor.Require[*dispatcher.Dispatcher](c, dispatcher.ID); err != nil {
 		return err
 	}
 	poll, err := auburnmoor.Require[*enginepoll.Poller](c, enginepoll.ID)
@@ -66,7 +66,7 @@
 	}
 	r.log, r.now, r.tracker = c.Log, c.Now, orphan.NewTracker()
 	r.reports = ring.New[engine.Report]("reaper.reports", ringSize)
-	poll.OnReport(func(rep engine.Report) { r.reports.Offer(rep) })
+	poll.OnReport(func(report engine.Report) { r.reports.Offer(report) })
 	return nil
 }
 
@@ -78,27 +78,28 @@
 
 func (r *Reaper) run(ctx context.Context) {
 	for {
-		rep, ok := r.reports.Take(ctx)
+		report, ok := r.reports.Take(ctx)
 		if !ok {
 			return
 		}
-		if r.now() < youngView {
+		if r.now() < viewWarmUp {
 			continue
 		}
-		for _, stream := range r.observe(rep) {
-			r.log.Info("cancelling orphan", zap.String("engine", rep.Engine), zap.String("stream", stream))
+		for _, stream := range r.findOrphans(report) {
+			r.log.Info("cancelling orphaned stream", zap.String("engine", report.Engine), zap.String("stream", stream))
 			cctx, cancel := context.WithTimeout(ctx, cancelTimeout)
-			_ = r.disp.Engine().Cancel(cctx, r.disp.Addr(rep.Engine), stream)
+			_ = r.dispatcher.Engine().Cancel(cctx, r.dispatcher.Addr(report.Engine), stream)
 			cancel()
 		}
 	}
 }
 
-func (r *Reaper) observe(rep engine.Report) []string {
-	view := r.mem.View()
+// findOrphans returns the streams of an engine's report that are orphaned.
+func (r *Reaper) findOrphans(report engine.Report) []string {
+	view := r.members.View()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.tracker.Observe(r.now(), rep, view.Lives)
+	return r.tracker.Observe(r.now(), report, view.Lives)
 }
 
 // Dump implements auburnmoor.Dumper.
