--- a/control/members/members.go
+++ b/control/members/members.go
@@ -131,7 +131,7 @@
 	if m.FailBase > 0 {
 		cfg.FailBase = m.FailBase.Std()
 	}
-	cfg.FailMost, cfg.FailDistant = m.FailMax.Std(), m.FailDistant.Std()
+	cfg.MaxFailAfter, cfg.FailDistant = m.FailMax.Std(), m.FailDistant.Std()
 	if m.PollList == 0 {
 		m.PollList = settings.Duration(defaultPollList)
 	}
@@ -184,7 +184,7 @@
 		m.inbox.Offer(env.GetGossip())
 	case env.GetMemberSilent() != nil:
 		m.mu.Lock()
-		m.table.FellSilent(m.now(), from, env.GetMemberSilent())
+		m.table.RecordSilence(m.now(), from, env.GetMemberSilent())
 		m.mu.Unlock()
 	}
 }
@@ -192,7 +192,7 @@
 // reportSilentMates reports mates that fell silent to all instances, other cells included.
 func (m *Members) reportSilentMates() {
 	m.mu.Lock()
-	silent := m.table.Silent(m.now())
+	silent := m.table.NewlySilent(m.now())
 	m.mu.Unlock()
 	for _, s := range silent {
 		for _, peer := range m.Peers() {
@@ -249,7 +249,7 @@
 // answerUnknown sends gossip to members that sent messages to this instance before it knew them.
 func (m *Members) answerUnknown() {
 	m.mu.Lock()
-	msgs := m.table.Answers(m.now())
+	msgs := m.table.Replies(m.now())
 	m.mu.Unlock()
 	m.send(msgs)
 }
@@ -408,7 +408,7 @@
 		}
 		others = append(others, w)
 	}
-	return watch.Stand(self, others)
+	return watch.StandingOf(self, others)
 }
 
 // Standing returns the rank of this instance among those of its data centre.
