--- a/control/loads/loads.go
+++ b/control/loads/loads.go
@@ -39,17 +39,17 @@
 	// Reports older than that are repaired by the next complete report if they were lost.
 	repeatWindow = 50 * time.Millisecond
 	// completeInterval is the interval of complete reports. It bounds how long a lost report
-	// leaves mates with a wrong load. Complete reports are also the heartbeat between mates:
-	// two in a row may be lost, with no other message in between, before a mate is suspected
-	// after 2.2 s of silence.
+	// leaves cell peers with a wrong load. Complete reports are also the heartbeat between
+	// them: two in a row may be lost, with no other message in between, before a peer is
+	// suspected after 2.2 s of silence.
 	completeInterval = 700 * time.Millisecond
 	// heartbeatEvery is the interval of heartbeats to other cells, in complete reports. Other
-	// cells suspect a member after 5 s, or when its mates report it silent.
+	// cells suspect a member after 5 s, or when its cell reports it silent.
 	heartbeatEvery = 3
 	// peerTimeout is how long a peer's last report stays valid: two complete reports in a
 	// row may be lost.
 	peerTimeout = 2500 * time.Millisecond
-	// maxWarmUp bounds how long a new instance waits for complete reports of its mates.
+	// maxWarmUp bounds how long a new instance waits for complete reports of its cell peers.
 	maxWarmUp = 3 * time.Second
 )
 
@@ -77,12 +77,12 @@
 	lastChanged  map[spread.Key]spread.Work
 	lastReportAt time.Duration
 	reportCount  uint64
-	// newestReport identifies the newest report received from each mate.
+	// newestReport identifies the newest report received from each cell peer.
 	newestReport map[string]reportID
-	// synced holds the mates from which a complete report was received.
-	synced map[string]bool
-	cell   cell.Cell
-	mates  map[string]bool
+	// synced holds the cell peers from which a complete report was received.
+	synced    map[string]bool
+	cell      cell.Cell
+	cellPeers map[string]bool
 }
 
 // reportID identifies a report of an instance: sequence restarts with each incarnation.
@@ -187,7 +187,7 @@
 }
 
 // TurnedAway records that a server rejected work although it should have had capacity, and
-// reports it to mates. storeSilent says that the store has not answered for a while.
+// reports it to cell peers. storeSilent says that the store has not answered for a while.
 func (l *Loads) TurnedAway(s backends.Server, storeSilent bool) {
 	l.mu.Lock()
 	pause, fresh := l.away.RecordRejection(l.now(), away.KeyOf(s), storeSilent)
@@ -200,7 +200,7 @@
 }
 
 // Present returns the servers without those that are passed over because they rejected work
-// of this instance or of a mate.
+// of this instance or of a cell peer.
 func (l *Loads) Present(servers []backends.Server) []backends.Server {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -223,20 +223,20 @@
 	return spread.Backlog(servers, l.ledger.Total)
 }
 
-// Blind reports whether this instance started too recently to know the work that its mates
-// have placed. Instances that start together and take all servers for idle would all
-// choose the same ones.
+// Blind reports whether this instance started too recently to know the work that its
+// cell peers have placed. Instances that start together and take all servers for idle would
+// all choose the same ones.
 func (l *Loads) Blind() bool {
 	if l.now() > maxWarmUp {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.mates) == 0 {
+	if len(l.cellPeers) == 0 {
 		return true
 	}
-	for mate := range l.mates {
-		if !l.synced[mate] {
+	for peer := range l.cellPeers {
+		if !l.synced[peer] {
 			return true
 		}
 	}
@@ -281,7 +281,7 @@
 	}
 }
 
-// report sends the changed work to all mates, or all work if complete is set.
+// report sends the changed work to all cell peers, or all work if complete is set.
 func (l *Loads) report(complete bool) {
 	l.mu.Lock()
 	now := l.now()
@@ -298,7 +298,7 @@
 	sequence := l.reportCount
 	waiting := l.queue.TakeState(now)
 	rejected := l.away.Observed(now)
-	mates := l.cell.Peers
+	peers := l.cell.Peers
 	l.mu.Unlock()
 	msg := &peerpb.LoadReport{Complete: complete, Sequence: sequence, ForSlot: int32(waiting.ForSlot)}
 	if waiting.HasFirst {
@@ -306,7 +306,7 @@
 	}
 	encodeWork(msg, changed)
 	encodeRejections(msg, rejected)
-	l.link.TellAll(mates, &peerpb.Envelope{Body: &peerpb.Envelope_LoadReport{LoadReport: msg}})
+	l.link.TellAll(peers, &peerpb.Envelope{Body: &peerpb.Envelope_LoadReport{LoadReport: msg}})
 }
 
 // withLastChanged adds the current state of the servers in the last report if that was sent within
@@ -330,9 +330,9 @@
 // connection.
 func (l *Loads) sendHeartbeats() {
 	l.mu.Lock()
-	mates := l.mates
+	peers := l.cellPeers
 	l.mu.Unlock()
-	distant := slices.DeleteFunc(slices.Clone(l.members.Peers()), func(peer string) bool { return mates[peer] })
+	distant := slices.DeleteFunc(slices.Clone(l.members.Peers()), func(peer string) bool { return peers[peer] })
 	l.link.TellAll(distant, &peerpb.Envelope{Body: &peerpb.Envelope_Heartbeat{Heartbeat: &peerpb.Heartbeat{}}})
 }
 
@@ -349,7 +349,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.mates[from] {
+	if !l.cellPeers[from] {
 		// The sender's member or server list differs for the moment and puts it into this
 		// cell. Its work is not counted until the lists agree.
 		return
@@ -395,21 +395,21 @@
 		live = append(live, m.Name)
 	}
 	next := cell.Of(l.link.Self(), live, l.minReadyServers())
-	mates := make(map[string]bool, len(next.Peers))
+	peers := make(map[string]bool, len(next.Peers))
 	for _, m := range next.Peers {
-		mates[m] = true
+		peers[m] = true
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if next.Count != l.cell.Count || next.Index != l.cell.Index {
-		l.log.Info("cell changed", zap.Int("cell", next.Index), zap.Int("cells", next.Count), zap.Int("mates", len(mates)), zap.Int("instances", len(live)))
+		l.log.Info("cell changed", zap.Int("cell", next.Index), zap.Int("cells", next.Count), zap.Int("mates", len(peers)), zap.Int("instances", len(live)))
 	}
-	l.cell, l.mates = next, mates
+	l.cell, l.cellPeers = next, peers
 	l.members.SetNeighbours(gossipNeighbours(l.link.Self(), next, live))
-	l.ledger.RetainPeers(mates)
-	l.queue.RetainPeers(mates)
+	l.ledger.RetainPeers(peers)
+	l.queue.RetainPeers(peers)
 	for peer := range l.synced {
-		if !mates[peer] {
+		if !peers[peer] {
 			delete(l.synced, peer)
 			delete(l.newestReport, peer)
 		}
@@ -453,7 +453,7 @@
 func (l *Loads) Dump() any {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	d := Dump{Cell: l.cell.Index, Cells: l.cell.Count, Mates: l.cell.Peers, Totals: map[string]spread.Load{}, Own: map[string]spread.Load{}}
+	d := Dump{Cell: l.cell.Index, Cells: l.cell.Count, CellPeers: l.cell.Peers, Totals: map[string]spread.Load{}, Own: map[string]spread.Load{}}
 	l.ledger.Advance(l.now())
 	list := l.catalog.Servers()
 	if list == nil {
@@ -477,12 +477,12 @@
 
 // Dump is the state of the module: this instance's cell and the load on the listed servers.
 type Dump struct {
-	Cell   int                    `json:"cell"`
-	Cells  int                    `json:"cells"`
-	Mates  []string               `json:"mates,omitempty"`
-	Totals map[string]spread.Load `json:"totals"`
-	Own    map[string]spread.Load `json:"own"`
+	Cell      int                    `json:"cell"`
+	Cells     int                    `json:"cells"`
+	CellPeers []string               `json:"mates,omitempty"`
+	Totals    map[string]spread.Load `json:"totals"`
+	Own       map[string]spread.Load `json:"own"`
 	// PassedOver lists the servers that are not used because they rejected work of this
-	// instance or of a mate.
+	// instance or of a cell peer.
 	PassedOver []string `json:"passed_over,omitempty"`
 }
--- a/control/loads/loads_test.go
+++ b/control/loads/loads_test.go
@@ -29,7 +29,7 @@
 	BeforeEach(func() {
 		l = &Loads{
 			log: zap.NewNop(), scope: tally.NoopScope, now: func() time.Duration { return time.Second }, ledger: spread.NewLedger(), queue: spread.NewQueue(), away: away.NewTable(func() float64 { return 0 }),
-			dirty: make(chan struct{}, 1), synced: map[string]bool{}, newestReport: map[string]reportID{}, cell: cell.Cell{Count: 2, Peers: []string{"a", "b"}}, mates: map[string]bool{"a": true, "b": true},
+			dirty: make(chan struct{}, 1), synced: map[string]bool{}, newestReport: map[string]reportID{}, cell: cell.Cell{Count: 2, Peers: []string{"a", "b"}}, cellPeers: map[string]bool{"a": true, "b": true},
 		}
 	})
 
@@ -50,13 +50,13 @@
 
 	// An instance of another cell with a member list that differs for a moment reports work
 	// but never its end, and the engine would stay unused for the life of the receiver.
-	It("are counted from mates only", func() {
+	It("are counted from cell peers only", func() {
 		l.receive("a", report(2))
 		l.receive("stranger", report(5))
 		Expect(l.Of("s").Calls).To(Equal(int64(2)))
 	})
 
-	It("are awaited from all mates after start", func() {
+	It("are awaited from all cell peers after start", func() {
 		Expect(l.Blind()).To(BeTrue())
 		l.receive("a", report(1))
 		l.receive("stranger", report(1))
@@ -76,7 +76,7 @@
 	})
 
 	// Otherwise each instance (88 in one run) loses requests to learn that a server left.
-	It("tell mates which servers rejected work", func() {
+	It("tell cell peers which servers rejected work", func() {
 		servers := []backends.Server{{ID: "s", Life: 1}, {ID: "t", Life: 1}, {ID: "u", Life: 1}, {ID: "v", Life: 1}}
 		Expect(l.Present(servers)).To(HaveLen(4))
 		r := report(0).GetLoadReport()
--- a/control/loads/report.go
+++ b/control/loads/report.go
@@ -86,7 +86,8 @@
 	}
 }
 
-// decodeRejections decodes what encodeRejections added. It returns false if the columns differ in length.
+// decodeRejections decodes what encodeRejections added. It returns false if the columns
+// differ in length.
 func decodeRejections(r *peerpb.LoadReport) (map[away.Key]time.Duration, bool) {
 	if len(r.Away) != len(r.AwayMs) {
 		return nil, false
--- a/control/members/members.go
+++ b/control/members/members.go
@@ -46,9 +46,9 @@
 	// FailDistant is the silence after which a member of another cell is suspected, unless
 	// its cell reports it silent before.
 	FailDistant settings.Duration `toml:"fail_distant"`
-	// FailMax is the upper bound of the timeout that starts at FailBase, for large fleets
-	// whose instances hear from each other directly; zero means no bound.
-	FailMax settings.Duration `toml:"fail_most"`
+	// MaxFailAfter caps the timeout that grows from FailBase, for large fleets whose
+	// instances hear from each other directly; zero means no cap.
+	MaxFailAfter settings.Duration `toml:"fail_most"`
 
 	log  *zap.Logger
 	now  func() time.Duration
@@ -131,7 +131,7 @@
 	if m.FailBase > 0 {
 		cfg.FailBase = m.FailBase.Std()
 	}
-	cfg.MaxFailAfter, cfg.FailDistant = m.FailMax.Std(), m.FailDistant.Std()
+	cfg.MaxFailAfter, cfg.FailDistant = m.MaxFailAfter.Std(), m.FailDistant.Std()
 	if m.PollList == 0 {
 		m.PollList = settings.Duration(defaultPollList)
 	}
@@ -189,8 +189,8 @@
 	}
 }
 
-// reportSilentMates reports mates that fell silent to all instances, other cells included.
-func (m *Members) reportSilentMates() {
+// reportSilence reports cell peers that fell silent to all instances, other cells included.
+func (m *Members) reportSilence() {
 	m.mu.Lock()
 	silent := m.table.NewlySilent(m.now())
 	m.mu.Unlock()
@@ -217,7 +217,7 @@
 				m.publish()
 			}
 		case <-t.C:
-			m.reportSilentMates()
+			m.reportSilence()
 			m.gossip(false)
 			m.publish()
 		case <-m.gossipNow:
