--- a/serve/api/api.go
+++ b/serve/api/api.go
@@ -1,5 +1,5 @@
-// Package api is the callers' interface: OpenAI-shaped completions, calls to
-// plain services and the list of entry instances.
+// Package api serves the HTTP interface for callers: OpenAI-compatible
+// completions, calls to plain services and the list of entry instances.
 package api
 
 import (
@@ -39,12 +39,12 @@
 
 // API is the module "http.api".
 type API struct {
-	// MaxBody bounds a request body in bytes.
+	// MaxBody is the maximum size of a request body in bytes.
 	MaxBody int64 `toml:"max_body" validate:"min=0,max=268435456"`
-	// BodyTimeout bounds the time in which a body must arrive.
+	// BodyTimeout limits the time to receive a request body.
 	BodyTimeout settings.Duration `toml:"body_timeout"`
-	// KeepEntries is how long callers may keep the answer of /v1/entries. A
-	// leaving instance goes on serving new calls for that long.
+	// KeepEntries is how long callers may cache the answer of /v1/entries. A
+	// leaving instance accepts new calls for that long.
 	KeepEntries settings.Duration `toml:"keep_entries"`
 
 	self   auburnmoor.Identity
@@ -56,7 +56,7 @@
 	disp   *dispatcher.Dispatcher
 	claims *claims.Claims
 	link   *peerlink.Link
-	home   *home
+	bound  *boundKeys
 	plain  *service.Client
 	server *http.Server
 	seq    atomic.Uint64
@@ -75,9 +75,9 @@
 	}
 }
 
-// Defaults and bounds.
+// Defaults and limits.
 const (
-	// defaultMaxBody admits a prompt of a million tokens with escapes.
+	// defaultMaxBody fits a prompt of a million tokens with JSON escapes.
 	defaultMaxBody     = 16 << 20
 	defaultBodyTimeout = 30 * time.Second
 	defaultKeepEntries = 5 * time.Second
@@ -87,12 +87,12 @@
 	dialTimeout        = time.Second
 )
 
-// Headers of the callers' interface.
+// Headers of the caller API.
 const (
 	headerRequestID = "X-Request-Id"
 	headerInstance  = "X-Entry-Instance"
 	headerKind      = "X-Request-Kind"
-	headerLimit     = "X-Request-Timeout-Ms"
+	headerTimeLimit = "X-Request-Timeout-Ms"
 	headerKey       = "Idempotency-Key"
 )
 
@@ -114,9 +114,9 @@
 	if a.link, err = auburnmoor.Require[*peerlink.Link](c, peerlink.ID); err != nil {
 		return err
 	}
-	a.link.HandleForward(a.forwarded)
-	a.home = newHome()
-	a.defaults()
+	a.link.HandleForward(a.handleForward)
+	a.bound = newBoundKeys()
+	a.setDefaults()
 	a.self, a.log, a.scope, a.now = c.Self, c.Log, c.Scope, c.Now
 	a.rand = rand.New(rand.NewPCG(c.Seed, 2))
 	a.pools, a.results = map[string]*balance.Pool{}, map[result.Code]uint64{}
@@ -129,7 +129,7 @@
 	return nil
 }
 
-func (a *API) defaults() {
+func (a *API) setDefaults() {
 	if a.MaxBody == 0 {
 		a.MaxBody = defaultMaxBody
 	}
@@ -145,7 +145,7 @@
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
 	e.HTTPErrorHandler = a.handleError
-	e.Use(a.identify)
+	e.Use(a.withRequestID)
 	e.GET("/v1/entries", a.entries)
 	e.GET("/v1/models", a.models)
 	e.POST("/v1/completions", func(c echo.Context) error { return a.completion(c, false) })
@@ -155,31 +155,31 @@
 	return e
 }
 
-// identify gives each request its id.
-func (a *API) identify(next echo.HandlerFunc) echo.HandlerFunc {
+// withRequestID is middleware that assigns each request its id.
+func (a *API) withRequestID(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		c.Response().Header().Set(headerInstance, a.self.Name)
-		a.setID(c, caller{})
+		a.assignRequestID(c, caller{})
 		return next(c)
 	}
 }
 
-// setID names a request once its promise is known. The id names the instance,
-// its incarnation and the time limit, so that a stream whose instance died or
-// forgot it can be told by its id.
-func (a *API) setID(c echo.Context, who caller) {
-	seq, ok := c.Get(keySeq).(uint64)
+// assignRequestID sets the request id, and again once the kind and time limit
+// are known. The id encodes the instance, its incarnation and the time limit, so
+// that a stream whose instance died or lost it is recognizable from its id.
+func (a *API) assignRequestID(c echo.Context, who caller) {
+	seq, ok := c.Get(seqContextKey).(uint64)
 	if !ok {
 		seq = a.seq.Add(1)
-		c.Set(keySeq, seq)
+		c.Set(seqContextKey, seq)
 	}
-	id := orphan.Format(a.self.Name, a.self.Incarnation, seq, who.limit, who.kind.NeverTwice)
+	id := orphan.Format(a.self.Name, a.self.Incarnation, seq, who.timeBudget, who.kind.NeverTwice)
 	c.Set(headerRequestID, id)
 	c.Response().Header().Set(headerRequestID, id)
 }
 
-// keySeq is where a request's sequence number is kept.
-const keySeq = "auburnmoor-seq"
+// seqContextKey is the echo context key of a request's sequence number.
+const seqContextKey = "auburnmoor-seq"
 
 func requestID(c echo.Context) string { return c.Get(headerRequestID).(string) }
 
@@ -193,9 +193,9 @@
 	return nil
 }
 
-// Drain implements auburnmoor.Drainer. The instance first disappears from
-// /v1/entries everywhere, goes on serving callers that kept an old answer, and
-// then waits for every request in progress.
+// Drain implements auburnmoor.Drainer. It removes the instance from /v1/entries
+// on all instances, keeps serving callers that cached an old answer, and then
+// waits for every request in progress.
 func (a *API) Drain(ctx context.Context) error {
 	a.mem.Leave()
 	select {
@@ -215,8 +215,8 @@
 	a.results[code]++
 }
 
-// readBody reads the whole body within the limits of size and time. A caller
-// that sends slowly would otherwise hold memory for as long as it likes.
+// readBody reads the whole body within the size and time limits. Without the
+// time limit a slow sender could hold memory indefinitely.
 func (a *API) readBody(c echo.Context) ([]byte, error) {
 	r := c.Request()
 	if r.ContentLength > a.MaxBody {
@@ -236,17 +236,17 @@
 	case err != nil:
 		return nil, result.New(result.BadRequest, "body could not be read")
 	}
-	if strings.HasPrefix(r.Header.Get(headerKey), homeMark) {
-		c.Set(keyBody, raw)
+	if strings.HasPrefix(r.Header.Get(headerKey), boundKeyMark) {
+		c.Set(bodyContextKey, raw)
 	}
 	return raw, nil
 }
 
-// keyBody is where a request's body is kept for passing it on.
-const keyBody = "auburnmoor-body"
+// bodyContextKey is the echo context key of a request body kept for forwarding.
+const bodyContextKey = "auburnmoor-body"
 
-func rawBody(c echo.Context) []byte {
-	raw, _ := c.Get(keyBody).([]byte)
+func savedBody(c echo.Context) []byte {
+	raw, _ := c.Get(bodyContextKey).([]byte)
 	return raw
 }
 
@@ -264,14 +264,14 @@
 	return d
 }
 
-// Dump is the state of the module.
+// Dump is the module state in the state dump.
 type Dump struct {
 	Results map[string]uint64       `json:"results"`
 	Pools   map[string]balance.Dump `json:"plain_services"`
 	Pending int                     `json:"pending"`
 }
 
-// setLimits puts the limits of a new configuration into force.
+// setLimits applies the limits of a new configuration.
 func (a *API) setLimits(ix *manifest.Index) {
 	l := ix.Manifest.Limits
 	a.mu.Lock()
@@ -281,8 +281,8 @@
 	}
 }
 
-// replaceView takes over the backend servers of the plain services. Leaving
-// ones get no new call from here on.
+// replaceView sets the backend servers of the plain services from a membership
+// view. Leaving servers get no new calls.
 func (a *API) replaceView(v members.View) {
 	byService := map[string][]balance.Server{}
 	for _, s := range v.Services {
--- a/serve/api/completion.go
+++ b/serve/api/completion.go
@@ -9,7 +9,7 @@
 	"github.com/auburnmoor/auburnmoor/result"
 )
 
-// defaultMaxTokens applies when neither the request nor the service says.
+// defaultMaxTokens applies when neither the request nor the service sets a limit.
 const defaultMaxTokens = 64
 
 func (a *API) completion(c echo.Context, chat bool) error {
@@ -29,28 +29,28 @@
 	if !ok || svc.Type != manifest.Model {
 		return result.New(result.UnknownModel, "no model service has this name")
 	}
-	if err := a.promise(c, &who, svc); err != nil {
+	if err := a.resolveKind(c, &who, svc); err != nil {
 		return err
 	}
 	max, err := maxTokens(req, svc)
 	if err != nil {
 		return err
 	}
-	w := work{caller: who, model: a.readyModel(svc), svc: svc, req: req, prompt: prompt, max: max, chat: chat}
+	w := modelRequest{caller: who, model: a.readyModel(svc), svc: svc, req: req, prompt: prompt, max: max, chat: chat}
 	if !who.kind.NeverTwice {
 		return a.complete(c, w, nil)
 	}
-	return a.once(c, who, raw, onceFuncs{
-		run:    func(r *claimed) error { return a.complete(c, w, r) },
-		resume: func(r *claimed, engine, stream string) error { return a.resume(c, w, r, engine, stream) },
+	return a.runOnce(c, who, raw, claimHandlers{
+		run:    func(r *claimedKey) error { return a.complete(c, w, r) },
+		resume: func(r *claimedKey, engine, stream string) error { return a.resume(c, w, r, engine, stream) },
 	})
 }
 
-// work is a checked model request.
-type work struct {
+// modelRequest is a validated model request.
+type modelRequest struct {
 	caller
 	svc manifest.Service
-	// model is the loaded version that serves the request.
+	// model is the loaded model version that serves the request.
 	model  string
 	req    completionRequest
 	prompt string
@@ -58,18 +58,18 @@
 	chat   bool
 }
 
-// keepFunc receives a whole answer for the record of a claimed key.
+// keepFunc stores the complete answer to a request with a claimed key.
 type keepFunc func(status int, contentType string, body []byte)
 
-func (w work) sink(c echo.Context, r *claimed) sink {
+func (w modelRequest) sink(c echo.Context, r *claimedKey) sink {
 	env := newEnvelope(requestID(c), w.svc.Name, w.chat)
 	var keep keepFunc
 	if r != nil {
-		keep = r.keep
+		keep = r.storeAnswer
 	}
-	var out sink = &wholeSink{c: c, env: env, keep: keep}
+	var out sink = &bufferedSink{c: c, env: env, keep: keep}
 	if w.req.Stream {
-		out = &sseSink{c: c, env: env, usage: w.req.StreamOptions.IncludeUsage, keep: keep}
+		out = &sseSink{c: c, env: env, includeUsage: w.req.StreamOptions.IncludeUsage, keep: keep}
 	}
 	if r != nil {
 		out = detachedSink{out}
@@ -91,12 +91,12 @@
 	return *req.MaxTokens, nil
 }
 
-func (a *API) complete(c echo.Context, w work, r *claimed) error {
+func (a *API) complete(c echo.Context, w modelRequest, r *claimedKey) error {
 	job := &peerpb.Job{
 		Id: requestID(c), Customer: w.customer.Name, Model: w.model,
 		PromptTokens: int64(prefix.EstimateTokens(len(w.prompt))), MaxTokens: w.max,
 		Prefix:      prefix.Sample(prefix.Chain(w.prompt)),
-		RemainingUs: w.limit.Microseconds(), TargetUs: w.kind.Target().Microseconds(),
+		RemainingUs: w.timeBudget.Microseconds(), TargetUs: w.kind.Target().Microseconds(),
 		Weight: int64(w.customer.Share),
 	}
 	ticket, err := a.disp.Submit(job, w.kind.NeverTwice)
@@ -106,9 +106,9 @@
 	defer a.disp.Close(ticket)
 	s := &session{disp: a.disp, ticket: ticket, model: w.model, prompt: w.prompt, max: w.max, sink: w.sink(c, r)}
 	if r != nil {
-		s.started = r.started
+		s.onStarted = r.recordStream
 	}
-	if err := s.serve(c.Request().Context(), w.limit); err != nil {
+	if err := s.serve(c.Request().Context(), w.timeBudget); err != nil {
 		return err
 	}
 	a.countResult(result.OK)
@@ -116,7 +116,7 @@
 }
 
 // readyModel returns the version of a service's model to use. During a rollout
-// that is the former version until as many engines have the new one.
+// that is the old version until the new one is loaded on as many engines.
 func (a *API) readyModel(svc manifest.Service) string {
 	wanted := svc.Loaded()
 	ready := map[string]int{}
--- a/serve/api/entries.go
+++ b/serve/api/entries.go
@@ -10,38 +10,38 @@
 	"github.com/auburnmoor/auburnmoor/manifest"
 )
 
-// entriesAnswer tells a caller which instances to use.
+// entriesAnswer lists the instances that a caller should use.
 type entriesAnswer struct {
-	Entries []entryLine `json:"entries"`
-	// KeepMS is how long the answer may be used.
+	Entries []entryInfo `json:"entries"`
+	// KeepMS is how long the answer may be cached.
 	KeepMS int64 `json:"keep_ms"`
-	// KeyPrefix begins idempotency keys whose home is this instance. Such a key
-	// runs without the store, but its fate is unknown once the instance is gone.
+	// KeyPrefix is the prefix of idempotency keys bound to this instance. Such a key
+	// needs no store, but its outcome is unknown once the instance is gone.
 	KeyPrefix string `json:"key_prefix"`
 }
 
-type entryLine struct {
+type entryInfo struct {
 	Name       string `json:"name"`
 	Addr       string `json:"addr"`
 	DataCentre string `json:"data_centre"`
 }
 
-// maxEntries bounds the addresses in one answer.
+// maxEntries is the maximum number of addresses in one answer.
 const maxEntries = 16
 
-// entries answers in an order of its own for each caller, which spreads the
-// callers over the instances; a caller that names its data centre gets the
-// instances there first.
+// entries lists the instances in an order that depends on the caller, which
+// spreads callers over the instances. A caller that names its data centre gets
+// the instances there first.
 func (a *API) entries(c echo.Context) error {
 	alive := a.mem.View().Alive
-	byName := map[string]entryLine{}
+	byName := map[string]entryInfo{}
 	for _, s := range alive {
-		byName[s.Name] = entryLine{Name: s.Name, Addr: s.CallerAddr, DataCentre: s.DataCentre}
+		byName[s.Name] = entryInfo{Name: s.Name, Addr: s.CallerAddr, DataCentre: s.DataCentre}
 	}
 	names := member.Owners(alive)
 	ranked := place.Rank(c.RealIP()+c.Request().Header.Get(echo.HeaderAuthorization), names, len(names))
 	near := c.QueryParam("data_centre")
-	ans := entriesAnswer{KeepMS: a.KeepEntries.Std().Milliseconds(), Entries: []entryLine{}, KeyPrefix: a.homePrefix()}
+	ans := entriesAnswer{KeepMS: a.KeepEntries.Std().Milliseconds(), Entries: []entryInfo{}, KeyPrefix: a.boundKeyPrefix()}
 	for _, local := range []bool{true, false} {
 		for _, n := range ranked {
 			if (byName[n].DataCentre == near) == local && len(ans.Entries) < maxEntries {
@@ -54,10 +54,10 @@
 
 type modelList struct {
 	Object string      `json:"object"`
-	Data   []modelLine `json:"data"`
+	Data   []modelInfo `json:"data"`
 }
 
-type modelLine struct {
+type modelInfo struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
 	OwnedBy string `json:"owned_by"`
@@ -68,9 +68,9 @@
 	if err != nil {
 		return err
 	}
-	list := modelList{Object: "list", Data: []modelLine{}}
+	list := modelList{Object: "list", Data: []modelInfo{}}
 	for _, name := range who.index.ServiceNames(manifest.Model) {
-		list.Data = append(list.Data, modelLine{ID: name, Object: "model", OwnedBy: who.index.Manifest.Site})
+		list.Data = append(list.Data, modelInfo{ID: name, Object: "model", OwnedBy: who.index.Manifest.Site})
 	}
 	return c.JSON(http.StatusOK, list)
 }
--- a/serve/api/errors.go
+++ b/serve/api/errors.go
@@ -11,7 +11,7 @@
 	"github.com/auburnmoor/auburnmoor/result"
 )
 
-// errorBody is the JSON form of a failure.
+// errorBody is the JSON body of an error response.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -24,7 +24,7 @@
 	RetryAfterMS int64       `json:"retry_after_ms"`
 }
 
-func bodyOf(e *result.Error) errorBody {
+func newErrorBody(e *result.Error) errorBody {
 	return errorBody{Error: errorDetail{
 		Code: e.Code, Name: e.Code.String(), Message: e.Message, NotRun: e.NotRun, RetryAfterMS: e.RetryAfter.Milliseconds(),
 	}}
@@ -37,14 +37,14 @@
 	if e.RetryAfter > 0 {
 		c.Response().Header().Set("Retry-After", strconv.Itoa(int((e.RetryAfter+time.Second-1)/time.Second)))
 	}
-	return c.JSON(result.Lookup(e.Code).Status, bodyOf(e))
+	return c.JSON(result.Lookup(e.Code).Status, newErrorBody(e))
 }
 
-// handleError maps errors of handlers and of the router to the numbered form.
+// handleError writes errors of handlers and of the router as coded errors.
 func (a *API) handleError(err error, c echo.Context) {
 	var coded *result.Error
 	if he, ok := err.(*echo.HTTPError); ok {
-		coded = fromHTTP(he)
+		coded = fromHTTPError(he)
 	} else {
 		coded = result.From(err)
 	}
@@ -52,7 +52,7 @@
 	_ = writeError(c, coded)
 }
 
-func fromHTTP(he *echo.HTTPError) *result.Error {
+func fromHTTPError(he *echo.HTTPError) *result.Error {
 	switch he.Code {
 	case http.StatusNotFound, http.StatusMethodNotAllowed:
 		return result.New(result.NotFound, "no such path or method")
@@ -61,8 +61,8 @@
 	}
 }
 
-// sseError renders a failure inside a stream that has begun.
+// sseError encodes an error inside a stream that has started.
 func sseError(e *result.Error) []byte {
-	raw, _ := json.Marshal(bodyOf(e))
+	raw, _ := json.Marshal(newErrorBody(e))
 	return raw
 }
--- a/serve/api/once.go
+++ b/serve/api/once.go
@@ -15,72 +15,72 @@
 	"github.com/auburnmoor/auburnmoor/result"
 )
 
-// claimWait bounds the wait for a claim; a request that gets none is refused
+// claimWait limits the wait for a claim. A request that gets no claim is rejected
 // as not run.
 const claimWait = 4 * time.Second
 
-// onceFuncs run a request that holds its claim, or take over a stream whose
-// instance died.
-type onceFuncs struct {
-	run    func(*claimed) error
-	resume func(r *claimed, engine, stream string) error
+// claimHandlers run a request whose key was claimed, or resume the stream of a
+// request whose instance died.
+type claimHandlers struct {
+	run    func(*claimedKey) error
+	resume func(r *claimedKey, engine, stream string) error
 }
 
-// claimed is a key held by this request.
-type claimed struct {
+// claimedKey is an idempotency key claimed by this request.
+type claimedKey struct {
 	a   *API
 	who caller
 	id  string
-	// keepAt takes the answer of a key with a home instead of the ledger.
-	keepAt keepFunc
+	// keepBound stores the answer of a bound key; nil uses the ledger.
+	keepBound keepFunc
 }
 
-func (r *claimed) record(res *peerpb.ClaimResult) {
+func (r *claimedKey) record(res *peerpb.ClaimResult) {
 	res.Customer, res.Key, res.RequestId = r.who.customer.Name, r.who.key, r.id
 	r.a.claims.Record(res)
 }
 
-// keep records the whole answer.
-func (r *claimed) keep(status int, contentType string, body []byte) {
-	if r.keepAt != nil {
-		r.keepAt(status, contentType, body)
+// storeAnswer records the complete answer.
+func (r *claimedKey) storeAnswer(status int, contentType string, body []byte) {
+	if r.keepBound != nil {
+		r.keepBound(status, contentType, body)
 		return
 	}
 	r.record(&peerpb.ClaimResult{Status: uint32(status), ContentType: contentType, Answer: body})
 }
 
-// started records where the answer is generated, so that another instance can
-// finish it.
-func (r *claimed) started(engine, stream string) {
-	if r.keepAt != nil {
+// recordStream records where the answer is generated, so that another instance
+// can resume the stream.
+func (r *claimedKey) recordStream(engine, stream string) {
+	if r.keepBound != nil {
 		return
 	}
 	r.record(&peerpb.ClaimResult{Engine: engine, Stream: stream})
 }
 
-// once runs a request that may not be repeated, if its key can be claimed.
-func (a *API) once(c echo.Context, who caller, body []byte, f onceFuncs) error {
-	if name, incarnation, ok := homeOf(who.key); ok {
-		return a.atHome(c, who, body, f, name, incarnation)
+// runOnce runs a request at most once: only if its key can be claimed.
+func (a *API) runOnce(c echo.Context, who caller, body []byte, f claimHandlers) error {
+	if name, incarnation, ok := parseBoundKey(who.key); ok {
+		return a.serveBoundKey(c, who, body, f, name, incarnation)
 	}
-	r := &claimed{a: a, who: who, id: requestID(c)}
-	ctx, cancel := context.WithTimeout(c.Request().Context(), min(claimWait, who.limit))
+	r := &claimedKey{a: a, who: who, id: requestID(c)}
+	ctx, cancel := context.WithTimeout(c.Request().Context(), min(claimWait, who.timeBudget))
 	defer cancel()
 	began := a.now()
 	reply, err := a.claims.Claim(ctx, &peerpb.Claim{
 		Customer: who.customer.Name, Key: who.key, BodyHash: xxhash.Sum64(body), RequestId: r.id,
 	})
 	if err != nil {
-		// A grant may still be on its way; the key must not stay taken by it.
+		// A grant may still be in transit; release the key in case it arrives.
 		r.record(&peerpb.ClaimResult{NotRun: true})
 		return result.New(result.ClaimUnavailable, "the key could not be claimed in time").WithRetryAfter(time.Second)
 	}
-	r.who.limit -= a.now() - began
+	r.who.timeBudget -= a.now() - began
 	switch reply.State {
 	case peerpb.ClaimState_CLAIM_GRANTED:
 		return a.runClaimed(c, r, f.run)
 	case peerpb.ClaimState_CLAIM_DONE:
-		return a.showKept(c, reply)
+		return a.replayAnswer(c, reply)
 	case peerpb.ClaimState_CLAIM_RUNNING:
 		return a.takeOver(c, r, reply, f.resume)
 	case peerpb.ClaimState_CLAIM_MISMATCH:
@@ -90,9 +90,9 @@
 	}
 }
 
-// runClaimed runs the request even if its caller goes away: the key is used
-// up, and the caller can only fetch the answer later.
-func (a *API) runClaimed(c echo.Context, r *claimed, run func(*claimed) error) error {
+// runClaimed runs the request even if its caller disconnects: the key is used,
+// and the caller can only fetch the answer by repeating the request.
+func (a *API) runClaimed(c echo.Context, r *claimedKey, run func(*claimedKey) error) error {
 	c.SetRequest(c.Request().WithContext(context.WithoutCancel(c.Request().Context())))
 	err := run(r)
 	var coded *result.Error
@@ -102,7 +102,7 @@
 	return err
 }
 
-func (a *API) showKept(c echo.Context, reply *peerpb.ClaimReply) error {
+func (a *API) replayAnswer(c echo.Context, reply *peerpb.ClaimReply) error {
 	if !reply.AnswerKept {
 		return result.New(result.AnswerGone, "request %s ran under this key; its answer is no longer kept", reply.Runner)
 	}
@@ -111,12 +111,11 @@
 	return c.Blob(int(reply.Status), reply.ContentType, reply.Answer)
 }
 
-// takeOver answers a repeat of a key whose request has not finished. If the
-// instance that ran it died, its stream goes on at the engine and is picked up
-// there; without a stream nobody can tell whether it ran, and it never will
-// again.
-func (a *API) takeOver(c echo.Context, r *claimed, reply *peerpb.ClaimReply, resume func(*claimed, string, string) error) error {
-	if a.instanceLives(reply.Runner) {
+// takeOver answers a repeated key whose first request has not finished. If the
+// instance that ran it died, its stream continues on the engine and is resumed
+// there. Without a stream the outcome is unknown, and the key never runs again.
+func (a *API) takeOver(c echo.Context, r *claimedKey, reply *peerpb.ClaimReply, resume func(*claimedKey, string, string) error) error {
+	if a.issuerAlive(reply.Runner) {
 		return result.New(result.ClaimRunning, "request %s runs under this key", reply.Runner).WithRetryAfter(time.Second)
 	}
 	if reply.Stream == "" || resume == nil {
@@ -127,28 +126,28 @@
 	return resume(r, reply.Engine, reply.Stream)
 }
 
-// instanceLives reports whether the process that issued a request id is a
-// live member.
-func (a *API) instanceLives(request string) bool {
+// issuerAlive reports whether the process that issued a request id is an alive
+// member.
+func (a *API) issuerAlive(request string) bool {
 	id, ok := orphan.Parse(request)
 	return ok && a.mem.View().Lives(id.Instance, id.Incarnation)
 }
 
-// resume shows the answer of a stream that another instance started.
-func (a *API) resume(c echo.Context, w work, r *claimed, engineName, stream string) error {
-	ctx, cancel := context.WithTimeout(c.Request().Context(), w.limit)
+// resume returns the answer of a stream that another instance started.
+func (a *API) resume(c echo.Context, w modelRequest, r *claimedKey, engineName, stream string) error {
+	ctx, cancel := context.WithTimeout(c.Request().Context(), w.timeBudget)
 	defer cancel()
 	out := w.sink(c, r)
 	order, u := sequence.From(0), usage{}
 	err := a.disp.Engine().Resume(ctx, a.disp.Addr(engineName), stream, 0, func(ch engine.Chunk) error {
-		text, err := accept(stream, &order, ch)
+		text, err := checkChunk(stream, &order, ch)
 		if ch.End && err == nil {
 			u = usageOf(0, ch)
 		}
 		if err != nil || text == "" {
 			return err
 		}
-		return out.token(text)
+		return out.writeToken(text)
 	})
 	if err != nil {
 		return out.fail(result.New(result.OutcomeUnknown, "request %s held this key and its stream is lost", r.id))
--- a/serve/api/openai.go
+++ b/serve/api/openai.go
@@ -7,8 +7,8 @@
 	"github.com/auburnmoor/auburnmoor/result"
 )
 
-// completionRequest is the part of an OpenAI request that matters here; other
-// fields are accepted and ignored.
+// completionRequest holds the supported fields of an OpenAI request; other fields
+// are ignored.
 type completionRequest struct {
 	Model               string          `json:"model"`
 	Prompt              json.RawMessage `json:"prompt"`
@@ -32,7 +32,7 @@
 	Text string `json:"text"`
 }
 
-// parseCompletion reads a request body and returns it with its prompt text.
+// parseCompletion decodes and validates a request body, and returns its prompt text.
 func parseCompletion(raw []byte, chat bool) (completionRequest, string, error) {
 	var req completionRequest
 	if err := json.Unmarshal(raw, &req); err != nil {
@@ -114,7 +114,7 @@
 	return b.String(), nil
 }
 
-// completionAnswer is one OpenAI answer or chunk.
+// completionAnswer is an OpenAI completion object or stream chunk.
 type completionAnswer struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
--- a/serve/api/openai_test.go
+++ b/serve/api/openai_test.go
@@ -15,7 +15,7 @@
 func TestAPI(t *testing.T) { testkit.Suite(t, "api") }
 
 var _ = Describe("a request body", func() {
-	DescribeTable("is refused with a numbered code when malformed",
+	DescribeTable("is rejected with the bad_request code when malformed",
 		func(body string, chat bool, part string) {
 			_, _, err := parseCompletion([]byte(body), chat)
 			Expect(result.From(err).Code).To(Equal(result.BadRequest))
@@ -34,7 +34,7 @@
 		Entry("message without role", `{"model":"m","messages":[{"content":"x"}]}`, true, "message 0"),
 	)
 
-	It("reads text and parts of chat messages", func() {
+	It("yields the text and the text parts of chat messages", func() {
 		_, prompt, err := parseCompletion([]byte(`{"model":"m","messages":[{"role":"system","content":"a"},{"role":"user","content":[{"type":"text","text":"b"}]}]}`), true)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(prompt).To(Equal("system: a\nuser: b\n"))
@@ -42,18 +42,18 @@
 })
 
 var _ = Describe("an answer's chunks", func() {
-	// A tutor reads another learner's feedback: an engine answered one stream
-	// with a chunk of another. Chunks are matched to the attempt, not to the
+	// An engine that sends a chunk of another stream would show a caller someone
+	// else's answer. Chunks are therefore matched by stream id and attempt, not by
 	// connection, and counted at the end.
-	It("are accepted only in order, once, from their own stream, and complete", func() {
+	It("are accepted only in order, once each, from their own stream, and with a matching count", func() {
 		order := sequence.From(0)
-		take := func(ch engine.Chunk) error { _, err := accept("s.1", &order, ch); return err }
+		take := func(ch engine.Chunk) error { _, err := checkChunk("s.1", &order, ch); return err }
 		Expect(take(engine.Chunk{ID: "s.1", Seq: 0, Text: "a"})).To(Succeed())
-		Expect(take(engine.Chunk{ID: "other.1", Seq: 1, Text: "b"})).To(MatchError(errCrossed))
+		Expect(take(engine.Chunk{ID: "other.1", Seq: 1, Text: "b"})).To(MatchError(errWrongStream))
 		Expect(take(engine.Chunk{ID: "s.1", Seq: 0, Text: "a"})).To(Succeed())
 		Expect(order.Following()).To(Equal(int64(1)))
-		Expect(take(engine.Chunk{ID: "s.1", Seq: 2, Text: "c"})).To(MatchError(errGap))
-		Expect(take(engine.Chunk{ID: "s.1", End: true, Count: 3})).To(MatchError(errGap))
+		Expect(take(engine.Chunk{ID: "s.1", Seq: 2, Text: "c"})).To(MatchError(errMissingChunks))
+		Expect(take(engine.Chunk{ID: "s.1", End: true, Count: 3})).To(MatchError(errMissingChunks))
 		Expect(take(engine.Chunk{ID: "s.1", Seq: 1, Text: "b"})).To(Succeed())
 		Expect(take(engine.Chunk{ID: "s.1", End: true, Count: 2})).To(Succeed())
 	})
--- a/serve/api/plain.go
+++ b/serve/api/plain.go
@@ -24,30 +24,31 @@
 	if !ok || svc.Type != manifest.Plain {
 		return result.New(result.UnknownService, "no plain service has this name")
 	}
-	if err := a.promise(c, &who, svc); err != nil {
+	if err := a.resolveKind(c, &who, svc); err != nil {
 		return err
 	}
 	raw, err := a.readBody(c)
 	if err != nil {
 		return err
 	}
-	call := callOf(c, svc, who, raw)
+	call := newCall(c, svc, who, raw)
 	if !who.kind.NeverTwice {
 		return a.callPlain(c, who, svc.Name, call, nil)
 	}
 	fingerprint := append([]byte(call.Method+" "+svc.Name+call.Path+"?"+call.Query+"\n"), raw...)
-	return a.once(c, who, fingerprint, onceFuncs{
-		run: func(r *claimed) error { return a.callPlain(c, who, svc.Name, call, r.keep) },
+	return a.runOnce(c, who, fingerprint, claimHandlers{
+		run: func(r *claimedKey) error { return a.callPlain(c, who, svc.Name, call, r.storeAnswer) },
 	})
 }
 
-// hopHeaders concern one connection or the caller's own credentials.
+// hopHeaders are not passed on: hop-by-hop headers, the caller's credentials and
+// headers for this instance.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
-	"Transfer-Encoding", "Upgrade", "Authorization", headerKind, headerLimit, headerForwarded,
+	"Transfer-Encoding", "Upgrade", "Authorization", headerKind, headerTimeLimit, headerForwarded,
 }
 
-func callOf(c echo.Context, svc manifest.Service, who caller, raw []byte) service.Call {
+func newCall(c echo.Context, svc manifest.Service, who caller, raw []byte) service.Call {
 	r := c.Request()
 	h := r.Header.Clone()
 	for _, name := range hopHeaders {
@@ -62,40 +63,41 @@
 	return service.Call{Method: r.Method, Path: path, Query: r.URL.RawQuery, Header: h, Body: raw}
 }
 
-// callPlain calls one backend server after the other until one answers, the
-// retry budget is spent or the time is up.
+// callPlain tries one backend server after another until one answers, the retry
+// budget is exhausted or the time limit passes.
 func (a *API) callPlain(c echo.Context, who caller, name string, call service.Call, keep keepFunc) error {
-	ctx, cancel := context.WithTimeout(c.Request().Context(), who.limit)
+	ctx, cancel := context.WithTimeout(c.Request().Context(), who.timeBudget)
 	defer cancel()
 	var tried []string
 	var sent bool
 	for {
 		server, ok := a.pick(name, tried)
 		if !ok {
-			return noServer(sent)
+			return noServerError(sent)
 		}
 		ans, err := a.plain.Do(ctx, server.Addr, call)
-		a.settleCall(name, server.Name, verdictOf(c.Request().Context(), err))
+		a.recordCall(name, server.Name, verdictOf(c.Request().Context(), err))
 		if err == nil {
-			return a.showPlain(c, ans, keep)
+			return a.writePlainAnswer(c, ans, keep)
 		}
 		tried = append(tried, server.Name)
 		sent = sent || !errors.Is(err, service.ErrNotSent)
-		if stop := a.mayRepeat(c, ctx, who, name, sent, err); stop != nil {
+		if stop := a.checkRetry(c, ctx, who, name, sent, err); stop != nil {
 			return stop
 		}
 	}
 }
 
-func noServer(sent bool) error {
+func noServerError(sent bool) error {
 	if sent {
 		return result.New(result.BackendFailed, "the backend server failed and no other is ready").WithRetryAfter(time.Second)
 	}
 	return result.New(result.NoBackend, "no backend server is ready").WithRetryAfter(time.Second)
 }
 
-// mayRepeat returns the failure to show, or nil to try another server.
-func (a *API) mayRepeat(c echo.Context, ctx context.Context, who caller, name string, sent bool, err error) error {
+// checkRetry returns the error to send to the caller, or nil to retry on another
+// server.
+func (a *API) checkRetry(c echo.Context, ctx context.Context, who caller, name string, sent bool, err error) error {
 	switch {
 	case c.Request().Context().Err() != nil:
 		return result.New(result.CallerGone, "the caller closed the connection")
@@ -139,13 +141,13 @@
 	}
 }
 
-func (a *API) settleCall(name, server string, v balance.Verdict) {
+func (a *API) recordCall(name, server string, v balance.Verdict) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.pools[name].Done(a.now(), server, v)
 }
 
-func (a *API) showPlain(c echo.Context, ans service.Answer, keep keepFunc) error {
+func (a *API) writePlainAnswer(c echo.Context, ans service.Answer, keep keepFunc) error {
 	contentType := ans.Header.Get(echo.HeaderContentType)
 	if keep != nil {
 		keep(ans.Status, contentType, ans.Body)
--- a/serve/api/request.go
+++ b/serve/api/request.go
@@ -11,19 +11,20 @@
 	"github.com/auburnmoor/auburnmoor/result"
 )
 
-// maxKeyLength bounds an Idempotency-Key in bytes.
+// maxKeyLength is the maximum length of an Idempotency-Key in bytes.
 const maxKeyLength = 256
 
-// caller is who asks, by which configuration and under which promise.
+// caller holds the customer of a request, the configuration it is served by, and
+// its kind, time budget and idempotency key.
 type caller struct {
-	index    *manifest.Index
-	customer manifest.Customer
-	kind     manifest.Kind
-	limit    time.Duration
-	key      string
+	index      *manifest.Index
+	customer   manifest.Customer
+	kind       manifest.Kind
+	timeBudget time.Duration
+	key        string
 }
 
-// authenticate finds the customer of the bearer key.
+// authenticate looks up the customer by the bearer key.
 func (a *API) authenticate(c echo.Context) (caller, error) {
 	ix := a.conf.Index()
 	if ix == nil {
@@ -40,8 +41,8 @@
 	return caller{index: ix, customer: customer}, nil
 }
 
-// promise fills in the kind of request, its time limit and its key.
-func (a *API) promise(c echo.Context, who *caller, svc manifest.Service) error {
+// resolveKind fills in the kind, time limit and idempotency key of a request.
+func (a *API) resolveKind(c echo.Context, who *caller, svc manifest.Service) error {
 	h := c.Request().Header
 	name := h.Get(headerKind)
 	if name == "" {
@@ -51,14 +52,14 @@
 	if !ok {
 		return result.New(result.UnknownKind, "the manifest declares no such kind of request")
 	}
-	who.kind, who.limit = kind, kind.TimeLimit.Std()
-	if v := h.Get(headerLimit); v != "" {
+	who.kind, who.timeBudget = kind, kind.TimeLimit.Std()
+	if v := h.Get(headerTimeLimit); v != "" {
 		ms, err := strconv.ParseInt(v, 10, 64)
 		if err != nil || ms < 1 {
-			return result.New(result.BadRequest, "%s must be a positive number of milliseconds", headerLimit)
+			return result.New(result.BadRequest, "%s must be a positive number of milliseconds", headerTimeLimit)
 		}
-		if ms < who.limit.Milliseconds() {
-			who.limit = time.Duration(ms) * time.Millisecond
+		if ms < who.timeBudget.Milliseconds() {
+			who.timeBudget = time.Duration(ms) * time.Millisecond
 		}
 	}
 	who.key = h.Get(headerKey)
@@ -68,6 +69,6 @@
 	if kind.NeverTwice && who.key == "" {
 		return result.New(result.KeyRequired, "kind %s requires an %s", kind.Name, headerKey)
 	}
-	a.setID(c, *who)
+	a.assignRequestID(c, *who)
 	return nil
 }
--- a/serve/api/session.go
+++ b/serve/api/session.go
@@ -14,17 +14,17 @@
 	"github.com/auburnmoor/auburnmoor/serve/dispatcher"
 )
 
-// Bounds of a session.
+// Time limits of a session.
 const (
-	// stallTimeout ends an attempt whose tokens stop coming.
+	// stallTimeout ends an attempt that receives no chunk for this long.
 	stallTimeout = 10 * time.Second
-	// decisionGrace is how long after its deadline a session waits for the
-	// decision machine before it answers by itself.
+	// decisionGrace is how long past its deadline a session waits for the dispatch
+	// state machine before it fails the request itself.
 	decisionGrace = 250 * time.Millisecond
 )
 
-// session serves one model request: it carries out the attempts that the
-// decision machine starts and shows the answer of the one that is whole.
+// session serves one model request: it runs the attempts that the dispatch state
+// machine starts and sends the caller the answer of the one that completes.
 type session struct {
 	disp   *dispatcher.Dispatcher
 	ticket *dispatcher.Ticket
@@ -32,15 +32,15 @@
 	prompt string
 	max    int64
 	sink   sink
-	// started is told where the answer is generated.
-	started func(engine, stream string)
-
-	order  sequence.Order
-	prior  int64
-	usage  usage
-	cancel context.CancelFunc
-	done   chan attemptResult
-	err    error
+	// onStarted is called with the engine and stream that generate the answer.
+	onStarted func(engine, stream string)
+
+	order       sequence.Order
+	priorTokens int64
+	usage       usage
+	cancel      context.CancelFunc
+	done        chan attemptResult
+	err         error
 }
 
 type attemptResult struct {
@@ -49,19 +49,19 @@
 	held  bool
 }
 
-// Reasons for which a chunk ends an attempt.
+// Errors that end an attempt.
 var (
-	errCrossed = errors.New("chunk belongs to another stream")
-	errGap     = errors.New("chunks are missing")
-	errStalled = errors.New("no chunk arrived in time")
-	errCaller  = errors.New("caller cannot be written to")
+	errWrongStream   = errors.New("chunk belongs to another stream")
+	errMissingChunks = errors.New("chunks are missing")
+	errStalled       = errors.New("no chunk arrived in time")
+	errCallerWrite   = errors.New("caller cannot be written to")
 )
 
-// serve runs until the answer is shown or has failed.
+// serve runs until the answer is sent or the request has failed.
 func (s *session) serve(ctx context.Context, limit time.Duration) error {
 	s.done = make(chan attemptResult, 1)
-	backstop := time.NewTimer(limit + decisionGrace)
-	defer backstop.Stop()
+	timeout := time.NewTimer(limit + decisionGrace)
+	defer timeout.Stop()
 	for {
 		select {
 		case a := <-s.ticket.C:
@@ -69,16 +69,16 @@
 				s.stopAttempt()
 				return s.sink.fail(fin.Err)
 			}
-			s.begin(ctx, a.(dispatch.Start))
+			s.startAttempt(ctx, a.(dispatch.Start))
 		case r := <-s.done:
-			if s.settle(r) {
+			if s.finishAttempt(r) {
 				return s.err
 			}
 		case <-ctx.Done():
 			s.stopAttempt()
 			s.disp.Report(dispatch.CallerGone{ID: s.ticket.ID})
 			return result.New(result.CallerGone, "the caller closed the connection")
-		case <-backstop.C:
+		case <-timeout.C:
 			s.stopAttempt()
 			s.disp.Report(dispatch.CallerGone{ID: s.ticket.ID})
 			return s.sink.fail(result.New(result.DeadlinePassed, "the time limit passed"))
@@ -86,8 +86,8 @@
 	}
 }
 
-// stopAttempt ends the running attempt and waits for its goroutine, which
-// shares the sink.
+// stopAttempt cancels the running attempt and waits for its goroutine, which uses
+// the same sink.
 func (s *session) stopAttempt() {
 	if s.cancel == nil {
 		return
@@ -97,42 +97,42 @@
 	<-s.done
 }
 
-func (s *session) begin(ctx context.Context, st dispatch.Start) {
+func (s *session) startAttempt(ctx context.Context, st dispatch.Start) {
 	s.stopAttempt()
 	if !st.Resume {
 		s.order = sequence.From(0)
-		s.sink.restart()
+		s.sink.discard()
 	}
 	if st.Segment != nil && st.Segment.FromToken == 0 {
-		s.prior = 0
+		s.priorTokens = 0
 	}
-	if s.started != nil && (st.Segment == nil || st.Segment.Last) {
-		s.started(st.Engine, dispatch.StreamID(st.ID, st.Attempt))
+	if s.onStarted != nil && (st.Segment == nil || st.Segment.Last) {
+		s.onStarted(st.Engine, dispatch.StreamID(st.ID, st.Attempt))
 	}
 	actx, cancel := context.WithCancel(ctx)
 	s.cancel = cancel
-	go func() { s.done <- s.run(actx, cancel, st) }()
+	go func() { s.done <- s.runAttempt(actx, cancel, st) }()
 }
 
-// run carries out one attempt.
-func (s *session) run(ctx context.Context, cancel context.CancelFunc, st dispatch.Start) attemptResult {
+// runAttempt runs one attempt.
+func (s *session) runAttempt(ctx context.Context, cancel context.CancelFunc, st dispatch.Start) attemptResult {
 	res := attemptResult{start: st}
 	stalled := false
 	guard := time.AfterFunc(time.Hour, func() { stalled = true; cancel() })
 	defer guard.Stop()
-	each := func(ch engine.Chunk) error {
+	onChunk := func(ch engine.Chunk) error {
 		guard.Reset(stallTimeout)
 		if ch.Held {
 			res.held = true
 			return nil
 		}
-		return s.chunk(st, ch)
+		return s.acceptChunk(st, ch)
 	}
 	addr := s.disp.Addr(st.Engine)
 	if st.Resume {
-		res.err = s.disp.Engine().Resume(ctx, addr, dispatch.StreamID(st.ID, st.Attempt), s.order.Following(), each)
+		res.err = s.disp.Engine().Resume(ctx, addr, dispatch.StreamID(st.ID, st.Attempt), s.order.Following(), onChunk)
 	} else {
-		res.err = s.disp.Engine().Run(ctx, addr, s.stream(st), s.text(st), each)
+		res.err = s.disp.Engine().Run(ctx, addr, s.newStream(st), s.segmentText(st), onChunk)
 	}
 	if res.err != nil && stalled {
 		res.err = errStalled
@@ -140,7 +140,7 @@
 	return res
 }
 
-func (s *session) stream(st dispatch.Start) engine.Stream {
+func (s *session) newStream(st dispatch.Start) engine.Stream {
 	out := engine.Stream{ID: dispatch.StreamID(st.ID, st.Attempt), Attempt: st.Attempt, Model: s.model, MaxTokens: s.max, Priority: st.Priority}
 	if st.Segment == nil {
 		return out
@@ -153,7 +153,7 @@
 	return out
 }
 
-func (s *session) text(st dispatch.Start) string {
+func (s *session) segmentText(st dispatch.Start) string {
 	if st.Segment == nil {
 		return s.prompt
 	}
@@ -165,35 +165,35 @@
 	return s.prompt[from:to]
 }
 
-// chunk accepts the next piece of this attempt's answer.
-func (s *session) chunk(st dispatch.Start, ch engine.Chunk) error {
+// acceptChunk validates the next chunk of the attempt and passes its text to the
+// sink.
+func (s *session) acceptChunk(st dispatch.Start, ch engine.Chunk) error {
 	next := s.order.Following()
-	text, err := accept(dispatch.StreamID(st.ID, st.Attempt), &s.order, ch)
+	text, err := checkChunk(dispatch.StreamID(st.ID, st.Attempt), &s.order, ch)
 	switch {
 	case err != nil:
 		return err
 	case ch.End:
-		s.usage = usageOf(s.prior, ch)
+		s.usage = usageOf(s.priorTokens, ch)
 		return nil
 	case s.order.Following() == next:
 		return nil
 	case next == 0:
 		s.disp.Report(dispatch.StreamFirstToken{ID: st.ID, Attempt: st.Attempt, Cached: ch.Cached})
 	}
-	return errors.Mark(s.sink.token(text), errCaller)
+	return errors.Mark(s.sink.writeToken(text), errCallerWrite)
 }
 
-// accept checks that a chunk is the next of its stream and returns its text. A
-// chunk of another stream, a doubled or a missing one would otherwise reach
-// the caller as part of a wrong answer; the number of chunks is checked at the
-// end.
-func accept(stream string, order *sequence.Order, ch engine.Chunk) (string, error) {
+// checkChunk returns the text of a chunk, or an empty text for a duplicate. A chunk
+// of another stream or a missing one is an error, and the end chunk must match the
+// count; the caller would otherwise receive a wrong answer.
+func checkChunk(stream string, order *sequence.Order, ch engine.Chunk) (string, error) {
 	if ch.ID != stream {
-		return "", errCrossed
+		return "", errWrongStream
 	}
 	if ch.End {
 		if ch.Count != order.Following() {
-			return "", errGap
+			return "", errMissingChunks
 		}
 		return "", nil
 	}
@@ -201,36 +201,37 @@
 	case sequence.Again:
 		return "", nil
 	case sequence.Gap:
-		return "", errGap
+		return "", errMissingChunks
 	default:
 		return ch.Text, nil
 	}
 }
 
-func usageOf(prior int64, ch engine.Chunk) usage {
-	u := usage{PromptTokens: prior + ch.Prompt, CompletionTokens: ch.Count, TotalTokens: prior + ch.Prompt + ch.Count}
+func usageOf(priorTokens int64, ch engine.Chunk) usage {
+	u := usage{PromptTokens: priorTokens + ch.Prompt, CompletionTokens: ch.Count, TotalTokens: priorTokens + ch.Prompt + ch.Count}
 	u.Details.CachedTokens = ch.Cached
 	return u
 }
 
-// settle reports an attempt's end and returns true when the answer is shown.
-func (s *session) settle(r attemptResult) bool {
+// finishAttempt reports the end of an attempt and returns true when the session is
+// done.
+func (s *session) finishAttempt(r attemptResult) bool {
 	s.cancel = nil
 	switch {
 	case r.err == nil && r.held:
-		s.prior += r.start.Segment.ToToken - r.start.Segment.FromToken
+		s.priorTokens += r.start.Segment.ToToken - r.start.Segment.FromToken
 		s.disp.Report(dispatch.StreamHeld{ID: r.start.ID, Attempt: r.start.Attempt})
 		return false
 	case r.err == nil:
 		s.disp.Report(dispatch.StreamEnd{ID: r.start.ID, Attempt: r.start.Attempt})
 		s.err = s.sink.finish(s.usage)
 		return true
-	case errors.Is(r.err, errCaller):
+	case errors.Is(r.err, errCallerWrite):
 		s.disp.Report(dispatch.CallerGone{ID: s.ticket.ID})
 		s.err = result.New(result.CallerGone, "the caller closed the connection")
 		return true
 	default:
-		s.disp.Report(dispatch.StreamEnd{ID: r.start.ID, Attempt: r.start.Attempt, Fault: faultOf(r.err), ResponseStarted: s.sink.shown()})
+		s.disp.Report(dispatch.StreamEnd{ID: r.start.ID, Attempt: r.start.Attempt, Fault: faultOf(r.err), ResponseStarted: s.sink.committed()})
 		return false
 	}
 }
--- a/serve/api/sink.go
+++ b/serve/api/sink.go
@@ -11,22 +11,22 @@
 	"github.com/auburnmoor/auburnmoor/result"
 )
 
-// sink shows an answer to the caller. Its methods are called by one goroutine
+// sink writes an answer to the caller. Its methods are called by one goroutine
 // at a time.
 type sink interface {
-	// token takes the next piece of the answer.
-	token(text string) error
-	// restart drops what was taken, before another attempt.
-	restart()
-	// shown reports whether the caller has seen anything.
-	shown() bool
+	// writeToken appends the next piece of the answer.
+	writeToken(text string) error
+	// discard drops the buffered text before another attempt.
+	discard()
+	// committed reports whether the response has started.
+	committed() bool
 	// finish completes the answer.
 	finish(u usage) error
 	// fail ends the answer with an error.
 	fail(e *result.Error) error
 }
 
-// envelope renders OpenAI objects for one request.
+// envelope builds the OpenAI objects of one request.
 type envelope struct {
 	id      string
 	model   string
@@ -51,7 +51,7 @@
 	return a
 }
 
-func (e envelope) whole(text string, u usage) completionAnswer {
+func (e envelope) fullAnswer(text string, u usage) completionAnswer {
 	reason := "length"
 	a := e.chunk(text, &reason)
 	if e.chat {
@@ -62,21 +62,21 @@
 	return a
 }
 
-// wholeSink collects the answer and shows it at once.
-type wholeSink struct {
+// bufferedSink collects the answer and sends it as one response.
+type bufferedSink struct {
 	c   echo.Context
 	env envelope
 	buf strings.Builder
-	// keep receives the answer for the record of a claimed key.
+	// keep stores the answer if the request has a claimed key.
 	keep keepFunc
 }
 
-func (s *wholeSink) token(text string) error { s.buf.WriteString(text); return nil }
-func (s *wholeSink) restart()                { s.buf.Reset() }
-func (s *wholeSink) shown() bool             { return false }
+func (s *bufferedSink) writeToken(text string) error { s.buf.WriteString(text); return nil }
+func (s *bufferedSink) discard()                     { s.buf.Reset() }
+func (s *bufferedSink) committed() bool              { return false }
 
-func (s *wholeSink) finish(u usage) error {
-	raw, err := json.Marshal(s.env.whole(s.buf.String(), u))
+func (s *bufferedSink) finish(u usage) error {
+	raw, err := json.Marshal(s.env.fullAnswer(s.buf.String(), u))
 	if err != nil {
 		return err
 	}
@@ -86,12 +86,12 @@
 	return s.c.Blob(http.StatusOK, echo.MIMEApplicationJSON, raw)
 }
 
-// detachedSink goes on when the caller is gone: the answer of a claimed key is
-// kept for the caller's next try.
+// detachedSink ignores write errors: the answer of a claimed key is completed for
+// the caller's next try even if the caller has disconnected.
 type detachedSink struct{ sink }
 
-func (s detachedSink) token(text string) error {
-	_ = s.sink.token(text)
+func (s detachedSink) writeToken(text string) error {
+	_ = s.sink.writeToken(text)
 	return nil
 }
 
@@ -100,22 +100,22 @@
 	return nil
 }
 
-func (s *wholeSink) fail(e *result.Error) error { return e }
+func (s *bufferedSink) fail(e *result.Error) error { return e }
 
 // sseSink streams the answer as server-sent events.
 type sseSink struct {
-	c       echo.Context
-	env     envelope
-	usage   bool
-	started bool
-	buf     strings.Builder
-	keep    keepFunc
+	c            echo.Context
+	env          envelope
+	includeUsage bool
+	started      bool
+	buf          strings.Builder
+	keep         keepFunc
 }
 
-// maxKept bounds the part of a streamed answer kept for a claimed key.
-const maxKept = 1 << 20
+// maxKeptText limits the text of a streamed answer kept for a claimed key.
+const maxKeptText = 1 << 20
 
-func (s *sseSink) begin() {
+func (s *sseSink) sendHeader() {
 	if s.started {
 		return
 	}
@@ -126,7 +126,7 @@
 	s.c.Response().WriteHeader(http.StatusOK)
 }
 
-func (s *sseSink) data(raw []byte) error {
+func (s *sseSink) writeEvent(raw []byte) error {
 	w := s.c.Response()
 	line := make([]byte, 0, len(raw)+8)
 	line = append(line, "data: "...)
@@ -139,26 +139,26 @@
 	return nil
 }
 
-func (s *sseSink) token(text string) error {
-	s.begin()
-	if s.keep != nil && s.buf.Len() < maxKept {
+func (s *sseSink) writeToken(text string) error {
+	s.sendHeader()
+	if s.keep != nil && s.buf.Len() < maxKeptText {
 		s.buf.WriteString(text)
 	}
 	raw, err := json.Marshal(s.env.chunk(text, nil))
 	if err != nil {
 		return err
 	}
-	return s.data(raw)
+	return s.writeEvent(raw)
 }
 
-func (s *sseSink) restart()    { s.buf.Reset() }
-func (s *sseSink) shown() bool { return s.started }
+func (s *sseSink) discard()        { s.buf.Reset() }
+func (s *sseSink) committed() bool { return s.started }
 
 func (s *sseSink) finish(u usage) error {
-	s.begin()
+	s.sendHeader()
 	reason := "length"
 	last := s.env.chunk("", &reason)
-	if s.usage {
+	if s.includeUsage {
 		last.Usage = &u
 	}
 	raw, err := json.Marshal(last)
@@ -166,18 +166,18 @@
 		return err
 	}
 	if s.keep != nil {
-		whole, _ := json.Marshal(s.env.whole(s.buf.String(), u))
+		whole, _ := json.Marshal(s.env.fullAnswer(s.buf.String(), u))
 		s.keep(http.StatusOK, echo.MIMEApplicationJSON, whole)
 	}
-	if err := s.data(raw); err != nil {
+	if err := s.writeEvent(raw); err != nil {
 		return err
 	}
-	return s.data([]byte("[DONE]"))
+	return s.writeEvent([]byte("[DONE]"))
 }
 
 func (s *sseSink) fail(e *result.Error) error {
 	if !s.started {
 		return e
 	}
-	return s.data(sseError(e))
+	return s.writeEvent(sseError(e))
 }
