--- a/serve/dispatcher/dispatcher.go
+++ b/serve/dispatcher/dispatcher.go
@@ -1,5 +1,5 @@
-// Package dispatcher drives the decision machine of package dispatch: one
-// goroutine feeds it events from a bounded ring and carries out its actions.
+// Package dispatcher drives the state machine of package dispatch: one goroutine
+// feeds it events from a bounded ring and executes its actions.
 package dispatcher
 
 import (
@@ -34,25 +34,25 @@
 
 // Dispatcher is the module "serve.dispatch".
 type Dispatcher struct {
-	// Order names the order of requests on an engine.
+	// Order names the scheduling order of requests on an engine.
 	Order string `toml:"order"`
-	// Candidates is how many engines are asked for a prediction.
+	// Candidates is the number of engines asked for a latency prediction.
 	Candidates int `toml:"candidates" validate:"min=0,max=4"`
-	// QuoteTimeout bounds the wait for predictions.
+	// QuoteTimeout limits the wait for predictions.
 	QuoteTimeout settings.Duration `toml:"quote_timeout"`
-	// RingSize bounds the events waiting for the decision goroutine.
+	// RingSize is the maximum number of events queued for the state machine.
 	RingSize int `toml:"ring_size" validate:"min=0,max=1048576"`
 
-	self   string
-	log    *zap.Logger
-	now    func() time.Duration
-	link   *peerlink.Link
-	mem    *members.Members
-	events *ring.Ring[dispatch.Event]
-	cancel *ring.Ring[dispatch.Cancel]
-	calls  chan func(*dispatch.Node)
-	engine *engine.Client
-	node   *dispatch.Node
+	self    string
+	log     *zap.Logger
+	now     func() time.Duration
+	link    *peerlink.Link
+	mem     *members.Members
+	events  *ring.Ring[dispatch.Event]
+	cancels *ring.Ring[dispatch.Cancel]
+	calls   chan func(*dispatch.Node)
+	engine  *engine.Client
+	node    *dispatch.Node
 
 	mu      sync.Mutex
 	tickets map[string]*Ticket
@@ -75,14 +75,14 @@
 	}
 }
 
-// Bounds of the module.
+// Defaults and limits.
 const (
-	defaultRing   = 16384
-	cancelRing    = 16384
-	cancelWorkers = 4
-	ticketBuffer  = 16
-	dialTimeout   = time.Second
-	cancelTimeout = 5 * time.Second
+	defaultRingSize = 16384
+	cancelRingSize  = 16384
+	cancelWorkers   = 4
+	ticketBuffer    = 16
+	dialTimeout     = time.Second
+	cancelTimeout   = 5 * time.Second
 )
 
 // Validate implements auburnmoor.Validator.
@@ -107,18 +107,18 @@
 		return err
 	}
 	if d.RingSize == 0 {
-		d.RingSize = defaultRing
+		d.RingSize = defaultRingSize
 	}
 	d.self, d.log, d.now = c.Self.Name, c.Log, c.Now
 	d.tickets, d.addrs = map[string]*Ticket{}, map[string]string{}
 	d.events = ring.New[dispatch.Event]("dispatch.events", d.RingSize)
-	d.cancel = ring.New[dispatch.Cancel]("dispatch.cancel", cancelRing)
+	d.cancels = ring.New[dispatch.Cancel]("dispatch.cancel", cancelRingSize)
 	d.calls = make(chan func(*dispatch.Node))
 	d.engine = engine.NewClient(dialTimeout)
 	d.node = dispatch.NewNode(d.self, d.nodeConfig(), c.Seed)
 	d.link.Handle(d.receive)
 	d.mem.OnView(d.replaceView)
-	conf.OnChange(d.limits)
+	conf.OnChange(d.applyLimits)
 	return nil
 }
 
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// Submit hands a request to the decision machine. The ticket must be closed
-// with Close.
+// Submit passes a request to the state machine. The ticket must be released with
+// Close.
 func (d *Dispatcher) Submit(job *peerpb.Job, once bool) (*Ticket, error) {
 	t := &Ticket{ID: job.Id, C: make(chan dispatch.Action, ticketBuffer)}
 	d.mu.Lock()
@@ -159,22 +159,22 @@
 	return t, nil
 }
 
-// Close forgets a ticket.
+// Close removes a ticket.
 func (d *Dispatcher) Close(t *Ticket) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.tickets, t.ID)
 }
 
-// Report passes on what happened to a stream. It waits for room: such an event
-// settles memory and must not be lost.
+// Report queues an event that must not be lost, such as the end of a stream, which
+// frees its reserved memory. It blocks while the ring is full.
 func (d *Dispatcher) Report(ev dispatch.Event) {
 	for !d.events.Offer(ev) {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// Offer passes on an event that may be lost.
+// Offer queues an event, or drops it and returns false if the ring is full.
 func (d *Dispatcher) Offer(ev dispatch.Event) bool { return d.events.Offer(ev) }
 
 // Engine returns the client for engines.
@@ -202,12 +202,13 @@
 	}
 }
 
-func (d *Dispatcher) limits(ix *manifest.Index) {
+func (d *Dispatcher) applyLimits(ix *manifest.Index) {
 	l := ix.Manifest.Limits
-	go d.call(func(n *dispatch.Node) { n.SetLimits(l.RetryShare, l.EjectShare) })
+	go d.runOnNode(func(n *dispatch.Node) { n.SetLimits(l.RetryShare, l.EjectShare) })
 }
 
-// replaceView turns a view of the fleet into a directory with owners.
+// replaceView derives the engine directory, with the owner of each engine, from a
+// membership view.
 func (d *Dispatcher) replaceView(v members.View) {
 	names := make([]string, 0, len(v.Engines))
 	for _, e := range v.Engines {
@@ -242,16 +243,16 @@
 		case <-ctx.Done():
 			return
 		case ev := <-d.events.C():
-			d.carryOut(d.node.Step(d.now(), ev))
+			d.executeActions(d.node.Step(d.now(), ev))
 		case <-t.C:
-			d.carryOut(d.node.Step(d.now(), dispatch.Tick{}))
+			d.executeActions(d.node.Step(d.now(), dispatch.Tick{}))
 		case f := <-d.calls:
 			f(d.node)
 		}
 	}
 }
 
-func (d *Dispatcher) carryOut(actions []dispatch.Action) {
+func (d *Dispatcher) executeActions(actions []dispatch.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case dispatch.Send:
@@ -261,18 +262,18 @@
 		case dispatch.Finish:
 			d.deliver(a.ID, a)
 		case dispatch.Cancel:
-			d.cancel.Offer(a)
+			d.cancels.Offer(a)
 		}
 	}
 }
 
-// deliver hands an action to the goroutine that serves the caller.
+// deliver sends an action to the goroutine that serves the request.
 func (d *Dispatcher) deliver(id string, a dispatch.Action) {
 	d.mu.Lock()
 	t := d.tickets[id]
 	d.mu.Unlock()
 	if t == nil {
-		// The caller has its answer or is gone; the machine must not go on.
+		// The caller has its answer or is gone: end the request in the state machine.
 		d.events.Offer(dispatch.CallerGone{ID: id})
 		return
 	}
@@ -285,19 +286,20 @@
 
 func (d *Dispatcher) cancelStreams(ctx context.Context) {
 	for {
-		c, ok := d.cancel.Take(ctx)
+		c, ok := d.cancels.Take(ctx)
 		if !ok {
 			return
 		}
 		cctx, done := context.WithTimeout(ctx, cancelTimeout)
-		// A failed cancel is left to the orphan sweep of the engine's owner.
+		// A stream whose cancel fails is ended by the orphan sweep of the engine's owner.
 		_ = d.engine.Cancel(cctx, d.Addr(c.Engine), c.Stream)
 		done()
 	}
 }
 
-// call runs f on the decision goroutine.
-func (d *Dispatcher) call(f func(*dispatch.Node)) bool {
+// runOnNode runs f on the goroutine of the state machine. It returns false if that
+// goroutine does not take f within a second.
+func (d *Dispatcher) runOnNode(f func(*dispatch.Node)) bool {
 	done := make(chan struct{})
 	select {
 	case d.calls <- func(n *dispatch.Node) { f(n); close(done) }:
@@ -310,12 +312,12 @@
 
 // Dump implements auburnmoor.Dumper.
 func (d *Dispatcher) Dump() any {
-	out := Dump{Rings: []ring.Stats{d.events.Stats(), d.cancel.Stats()}}
-	d.call(func(n *dispatch.Node) { out.Node = n.Dump() })
+	out := Dump{Rings: []ring.Stats{d.events.Stats(), d.cancels.Stats()}}
+	d.runOnNode(func(n *dispatch.Node) { out.Node = n.Dump() })
 	return out
 }
 
-// Dump is the state of the module.
+// Dump is the module state in the state dump.
 type Dump struct {
 	Node  dispatch.Dump `json:"node"`
 	Rings []ring.Stats  `json:"rings"`
