--- a/serve/enginepoll/enginepoll.go
+++ b/serve/enginepoll/enginepoll.go
@@ -1,4 +1,4 @@
-// Package enginepoll reads load reports and cache events of the engines that
+// Package enginepoll polls the load reports and cache events of the engines that
 // this instance owns.
 package enginepoll
 
@@ -25,23 +25,23 @@
 
 // Poller is the module "serve.engines".
 type Poller struct {
-	// Poll is the period of reading an engine's load.
+	// Poll is the interval between polls of an engine.
 	Poll settings.Duration `toml:"poll"`
 
 	log  *zap.Logger
 	disp *dispatcher.Dispatcher
 	mem  *members.Members
 
-	mu      sync.Mutex
-	engines map[string]*polled
-	reports []func(engine.Report)
+	mu             sync.Mutex
+	engines        map[string]*polledEngine
+	reportHandlers []func(engine.Report)
 }
 
-type polled struct {
-	stop  context.CancelFunc
-	last  engine.Report
-	known bool
-	lost  int
+type polledEngine struct {
+	stop        context.CancelFunc
+	last        engine.Report
+	known       bool
+	failedPolls int
 }
 
 // ModuleInfo implements auburnmoor.Module.
@@ -52,13 +52,13 @@
 	}
 }
 
-// Defaults and bounds.
+// Defaults and limits.
 const (
 	defaultPoll = 250 * time.Millisecond
 	pollTimeout = time.Second
-	// lostAfter is the number of failed polls after which an engine counts as
-	// lost.
-	lostAfter = 3
+	// lostAfterFailures is the number of consecutive failed polls after which an
+	// engine counts as lost.
+	lostAfterFailures = 3
 )
 
 // Provision implements auburnmoor.Provisioner.
@@ -73,12 +73,13 @@
 	if p.Poll == 0 {
 		p.Poll = settings.Duration(defaultPoll)
 	}
-	p.log, p.engines = c.Log, map[string]*polled{}
+	p.log, p.engines = c.Log, map[string]*polledEngine{}
 	return nil
 }
 
-// OnReport calls f with every load report. It must be called before Start.
-func (p *Poller) OnReport(f func(engine.Report)) { p.reports = append(p.reports, f) }
+// OnReport registers f to be called with every load report. It must be called
+// before Start.
+func (p *Poller) OnReport(f func(engine.Report)) { p.reportHandlers = append(p.reportHandlers, f) }
 
 // Start implements auburnmoor.Starter.
 func (p *Poller) Start(ctx context.Context) error {
@@ -90,7 +91,7 @@
 	t := time.NewTicker(p.Poll.Std())
 	defer t.Stop()
 	for {
-		if p.follow(ctx, p.disp.Owned()) {
+		if p.updatePollers(ctx, p.disp.Owned()) {
 			p.announce()
 		}
 		select {
@@ -101,10 +102,10 @@
 	}
 }
 
-// follow starts and stops one duty per owned engine and reports whether an
-// engine is owned no more. What was said of it must be taken back then: it
-// would contradict its new owner for ever.
-func (p *Poller) follow(ctx context.Context, owned []string) (lost bool) {
+// updatePollers starts and stops one polling goroutine per owned engine and reports
+// whether ownership of an engine was lost. Its announced state must then be
+// withdrawn, or it would contradict the new owner for ever.
+func (p *Poller) updatePollers(ctx context.Context, owned []string) (lost bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	want := map[string]bool{}
@@ -112,7 +113,7 @@
 		want[name] = true
 		if p.engines[name] == nil {
 			ectx, stop := context.WithCancel(ctx)
-			p.engines[name] = &polled{stop: stop}
+			p.engines[name] = &polledEngine{stop: stop}
 			go p.pollEngine(ectx, name)
 		}
 	}
@@ -145,7 +146,7 @@
 	addr := p.disp.Addr(name)
 	report, err := p.disp.Engine().Load(cctx, addr)
 	if err != nil {
-		p.failed(name)
+		p.recordPollFailure(name)
 		return seq
 	}
 	events, err := p.disp.Engine().Events(cctx, addr, seq)
@@ -153,18 +154,18 @@
 		seq = events[len(events)-1].Seq
 	}
 	p.disp.Offer(dispatch.EngineReport{Report: report, Events: events})
-	p.succeeded(name, report)
+	p.recordReport(name, report)
 	return seq
 }
 
-func (p *Poller) failed(name string) {
+func (p *Poller) recordPollFailure(name string) {
 	p.mu.Lock()
 	e := p.engines[name]
 	lost := false
 	if e != nil {
-		e.lost++
-		lost = e.lost == lostAfter
-		e.known = e.known && e.lost < lostAfter
+		e.failedPolls++
+		lost = e.failedPolls == lostAfterFailures
+		e.known = e.known && e.failedPolls < lostAfterFailures
 	}
 	p.mu.Unlock()
 	if lost {
@@ -174,30 +175,30 @@
 	}
 }
 
-func (p *Poller) succeeded(name string, r engine.Report) {
+func (p *Poller) recordReport(name string, r engine.Report) {
 	p.mu.Lock()
 	e := p.engines[name]
-	fresh := e != nil && (!e.known || len(e.last.Models) != len(r.Models) || e.last.Role != r.Role)
+	changed := e != nil && (!e.known || len(e.last.Models) != len(r.Models) || e.last.Role != r.Role)
 	if e != nil {
-		e.last, e.known, e.lost = r, true, 0
+		e.last, e.known, e.failedPolls = r, true, 0
 	}
 	p.mu.Unlock()
-	for _, f := range p.reports {
+	for _, f := range p.reportHandlers {
 		f(r)
 	}
-	if fresh {
+	if changed {
 		p.log.Info("engine known", zap.String("engine", name), zap.Strings("models", r.Models))
 		p.announce()
 	}
 }
 
-// announce tells the other instances what the owned engines serve.
+// announce publishes the state of the owned engines to the other instances.
 func (p *Poller) announce() {
 	var out []*peerpb.EngineState
 	p.mu.Lock()
 	for name, e := range p.engines {
-		// An engine that does not answer is announced without models, so that
-		// entries stop asking for it.
+		// An engine that does not answer is announced without models, so that entry
+		// instances send it no requests.
 		if !e.known {
 			e.last.Models = nil
 		}
@@ -217,12 +218,12 @@
 	defer p.mu.Unlock()
 	var out []Dump
 	for name, e := range p.engines {
-		out = append(out, Dump{Engine: name, Known: e.known, FailedPolls: e.lost, KVUsed: e.last.KVUsed, KVTotal: e.last.KVTotal, Running: e.last.Running})
+		out = append(out, Dump{Engine: name, Known: e.known, FailedPolls: e.failedPolls, KVUsed: e.last.KVUsed, KVTotal: e.last.KVTotal, Running: e.last.Running})
 	}
 	return out
 }
 
-// Dump is the state of one polled engine.
+// Dump is the state of one polled engine in the state dump.
 type Dump struct {
 	Engine      string `json:"engine"`
 	Known       bool   `json:"known"`
