--- a/serve/entries/entries.go
+++ b/serve/entries/entries.go
@@ -1,4 +1,4 @@
-// Package entries answers callers that ask which entry instances to use.
+// Package entries chooses the entry instances that callers should use.
 package entries
 
 import (
@@ -17,11 +17,11 @@
 func init() { auburnmoor.Register(new(Entries)) }
 
 const (
-	// most is how many addresses a caller uses of one answer.
-	most = 64
-	// keep is how long callers may keep an answer. It bounds how long they go
-	// on choosing an instance that is gone; each asks once in this time.
-	keep = 2 * time.Second
+	// maxAddrs is the number of addresses that a caller uses of one answer.
+	maxAddrs = 64
+	// answerTTL is how long callers may cache an answer. It limits how long they
+	// keep using an instance that is gone; each caller asks once in this time.
+	answerTTL = 2 * time.Second
 )
 
 // Entries is the module "serve.entries".
@@ -38,20 +38,20 @@
 	return err
 }
 
-// Answer is what a caller is told.
+// Answer holds the addresses for a caller and how long it may cache them.
 type Answer struct {
 	Addrs []string
 	Keep  time.Duration
 }
 
-// For answers a caller in a data centre. No address at all means that this
-// instance knows of none that serves, itself included.
+// For returns the answer for a caller in a data centre. No address means that this
+// instance knows of no serving instance, itself included.
 func (e *Entries) For(dataCentre string) Answer {
-	return Answer{Addrs: Choose(e.members.View().Alive, dataCentre, rand.Shuffle), Keep: keep}
+	return Answer{Addrs: Choose(e.members.View().Alive, dataCentre, rand.Shuffle), Keep: answerTTL}
 }
 
-// Choose returns the addresses of serving instances. Beyond the most that a
-// caller uses, those of its own data centre come first.
+// Choose returns up to maxAddrs addresses of serving instances in random order,
+// those in the data centre of the caller first.
 func Choose(alive []*peerpb.MemberState, dataCentre string, shuffle func(int, func(i, j int))) []string {
 	var near, far []string
 	for _, m := range alive {
@@ -66,5 +66,5 @@
 	shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
 	shuffle(len(far), func(i, j int) { far[i], far[j] = far[j], far[i] })
 	all := slices.Concat(near, far)
-	return all[:min(most, len(all))]
+	return all[:min(maxAddrs, len(all))]
 }
