--- a/serve/admin/admin.go
+++ b/serve/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves the state dump, metrics and profiles on an address of
-// its own, apart from callers.
+// Package admin serves the state dump, operator actions, metrics and profiles on an
+// address separate from that of callers.
 package admin
 
 import (
@@ -24,7 +24,7 @@
 
 // Admin is the module "http.admin".
 type Admin struct {
-	// Profiles serves /debug/pprof.
+	// Profiles enables /debug/pprof.
 	Profiles bool `toml:"profiles"`
 
 	addr   string
