--- a/port/backend/backend.go
+++ b/port/backend/backend.go
@@ -1,5 +1,5 @@
-// Package backend is the port to backend servers that are called over one
-// request and one answer: model engines that stream events, and plain services.
+// Package backend is the interface to backend servers that answer one request with
+// one response: model engines that stream events, and plain services.
 package backend
 
 import (
@@ -19,81 +19,84 @@
 // Source is implemented by the module that provides the client.
 type Source interface{ Backends() Client }
 
-// Helper is an engine that reads a part of a prompt for another engine.
+// Helper is an engine that prefills a part of a prompt for another engine.
 type Helper struct {
 	Addr string
-	// Ticket names a reservation that keeps the part's memory at the helper;
-	// empty leaves the memory with the engine that writes.
+	// Ticket is the reservation that holds the memory of the part on the helper. If
+	// empty, the memory is on the engine that decodes.
 	Ticket string
 }
 
 // Call is a request to one backend server.
 type Call struct {
-	// Server is the ID that must answer; another server at the address refuses.
+	// Server is the ID of the server meant; any other server at the address rejects
+	// the call.
 	Server string
-	// Life tells the starts of the server apart.
+	// Life identifies one run of the server process.
 	Life   backends.Life
 	Addr   string
 	Method string
-	// Target is the path and query exactly as the client sent them.
+	// Target is the path and query exactly as sent by the client.
 	Target string
 	Host   string
-	// Header holds the client's headers that are passed on.
+	// Header holds the client headers to forward.
 	Header    http.Header
 	Body      []byte
 	RequestID string
 	Customer  string
-	// Left is the time that the server may take.
+	// Left is the time remaining for the server.
 	Left time.Duration
-	// Rank orders requests that wait at the server; 0 is the most urgent.
+	// Rank orders requests queued at the server; 0 is the most urgent.
 	Rank int
-	// Helpers read parts of the prompt.
+	// Helpers prefill parts of the prompt.
 	Helpers []Helper
-	// ResumeAfter continues a stream after the event of this id.
+	// ResumeAfter resumes a stream after the event with this id.
 	ResumeAfter string
 }
 
-// Head is the beginning of an answer.
+// Head is the status and headers of an answer.
 type Head struct {
 	Status int
 	// Header holds the end-to-end headers.
 	Header http.Header
-	// Sealed tells that the backend server signed the answer.
+	// Sealed is set if the backend server signed the answer.
 	Sealed bool
-	// NotRun is the server's statement that it did not and will not run the
+	// NotRun is set if the server declares that it did not and will not run the
 	// request.
 	NotRun bool
-	// AtFault is the server that made a request with helpers fail, if told.
+	// AtFault is the server that caused a request with helpers to fail; empty if not
+	// reported.
 	AtFault string
-	// RetryAfter is when the server may take the request; zero if not told.
+	// RetryAfter is the delay after which the server may accept the request; zero if
+	// not reported.
 	RetryAfter time.Duration
 }
 
-// Answer is an answer that is being read.
+// Answer is an answer being received.
 type Answer interface {
 	Head() Head
-	// Read returns io.EOF only when the answer is complete, and an error marked
-	// ErrBroken when it ended early.
+	// Read returns io.EOF only if the answer is complete, and an error marked
+	// ErrBroken if it ended early.
 	Read(p []byte) (int, error)
-	// Close ends the call; before the end of the answer the server drops the
-	// request.
+	// Close ends the call. Before the end of the answer it makes the server cancel
+	// the request.
 	Close()
 }
 
-// Reservation keeps memory of an engine for one request.
+// Reservation reserves memory of an engine for one request.
 type Reservation struct {
 	Server, Addr string
-	// Life tells the starts of the server apart.
+	// Life identifies one run of the server process.
 	Life backends.Life
-	// Ticket is chosen by the caller and never used for a second request.
+	// Ticket is chosen by the caller and never reused for another request.
 	Ticket string
 	Tokens int64
-	// Hold is how long the memory is kept; reserving again renews it.
+	// Hold is how long the reservation lasts; reserving again renews it.
 	Hold time.Duration
 }
 
-// Errors of the port. After ErrNotSent no byte of the request can have reached
-// the server; after ErrBroken it may have run.
+// Errors of Client. After ErrNotSent no byte of the request can have reached the
+// server; after ErrBroken the request may have run.
 var (
 	ErrNotSent = errors.New("request did not reach the backend server")
 	ErrBroken  = errors.New("connection to the backend server failed after the request was sent")
@@ -103,12 +106,12 @@
 type Client interface {
 	// Do sends a call and waits for the head of the answer.
 	Do(ctx context.Context, c Call) (Answer, error)
-	// Reserve asks for memory and reports whether it was granted. After an error
-	// it may have been, or may be seconds later.
+	// Reserve requests memory and reports whether it was granted. After an error it
+	// may have been granted, or may still be granted seconds later.
 	Reserve(ctx context.Context, r Reservation) (bool, error)
-	// Release gives memory back.
+	// Release ends a reservation.
 	Release(ctx context.Context, r Reservation) error
-	// Refuses reports whether nothing listens at an address any more, as after the end
-	// of a server's process. It is false while that is not known.
+	// Refuses reports whether an address refuses connections, as it does after the
+	// server process ended. It returns false if that is not known.
 	Refuses(ctx context.Context, addr string) bool
 }
--- a/port/catalog/catalog.go
+++ b/port/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog is the port to where the operators' configuration and the
-// list of backend servers are kept and watched.
+// Package catalog is the interface to the store that keeps the operators'
+// configuration and the list of backend servers, and lets both be watched.
 package catalog
 
 import (
@@ -20,66 +20,68 @@
 // Source is implemented by the module that provides the catalog.
 type Source interface{ Catalog() Catalog }
 
-// Errors of the port.
+// Errors of Catalog.
 var (
-	// ErrHistoryGone tells that changes since the asked position are no longer known, or
-	// that the store is in a later era; the whole must be read again.
+	// ErrHistoryGone means that the changes since the given position are no longer
+	// known, or that the store is in a later era. The full state must be read again.
 	ErrHistoryGone = errors.New("history of changes is gone")
-	// ErrOldEra tells that an answer is of an earlier era than one that is known of.
+	// ErrOldEra means that an answer is from an earlier era than the newest known one.
 	ErrOldEra = errors.New("answer of the store is of an earlier era")
-	// ErrUnreadable tells that a configuration cannot be read; the position that comes
+	// ErrUnreadable means that a configuration cannot be decoded. The position returned
 	// with it is the one to watch from.
 	ErrUnreadable = errors.New("configuration cannot be read")
-	// ErrNone tells that no configuration was accepted by the position that comes with
+	// ErrNone means that no configuration was accepted up to the position returned with
 	// it.
 	ErrNone = errors.New("no configuration accepted yet")
 )
 
-// Servers is the whole list of servers.
+// Servers is the full list of servers.
 type Servers struct {
 	Servers []backends.Server
 	At      position.Position
-	// Unreadable are entries that name no server to use.
+	// Unreadable are the entries that do not describe a usable server.
 	Unreadable []Unreadable
 }
 
-// Unreadable is an entry that cannot be read: of another writer, or cut off.
+// Unreadable is an entry that cannot be decoded: written by another program, or
+// truncated.
 type Unreadable struct {
-	// Name is empty if it cannot be read either.
+	// Name is empty if it cannot be decoded either.
 	Name string
 	Why  error
 }
 
-// ServerChanges leads from a position to the next of the same era.
+// ServerChanges holds the changes from one position to a later one of the same era.
 type ServerChanges struct {
 	Changes []backends.Change
 	At      position.Position
-	// Unreadable are entries that changed and name no server to use any more; Changes
-	// takes them out.
+	// Unreadable are the changed entries that no longer describe a usable server;
+	// Changes removes their servers.
 	Unreadable []Unreadable
 }
 
-// Config is a version with the position at which it was read.
+// Config is a configuration with the position at which it was read.
 type Config struct {
 	Config route.Config
 	Raw    []byte
 	At     position.Position
 }
 
-// Catalog reads and watches. Every call ends with its context.
+// Catalog reads and watches the configuration and the list of servers. Every call
+// returns when its context ends.
 type Catalog interface {
-	// Servers and Config read the whole, as it was some seconds ago if that will do.
+	// Servers and Config read the full state; with staleOK it may be some seconds old.
 	Servers(ctx context.Context, staleOK bool) (Servers, error)
-	// WatchServers waits for changes after a position, at most for wait.
+	// WatchServers waits up to wait for changes after a position.
 	WatchServers(ctx context.Context, after position.Position, wait time.Duration) (ServerChanges, error)
 	Config(ctx context.Context, staleOK bool) (Config, error)
 	// WatchConfig returns a nil Config when nothing changed within wait.
 	WatchConfig(ctx context.Context, after position.Position, wait time.Duration) (*Config, position.Position, error)
-	// Decode reads a configuration that another instance passed on.
+	// Decode decodes a configuration received from another instance.
 	Decode(raw []byte) (Config, error)
-	// EraKnown notes an era of the store that another instance told of. It ends watches
-	// of earlier ones, and answers of those are not taken any more.
+	// EraKnown records an era of the store that another instance reported. It ends
+	// watches of earlier eras, and answers from those are rejected from then on.
 	EraKnown(era uint64)
-	// Era is the newest era that is known of, zero for none.
+	// Era returns the newest known era, or zero.
 	Era() uint64
 }
--- a/port/engine/engine.go
+++ b/port/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine is the port to model engines: streams, cancel and resume, KV
-// export, load reports, cache events and orders over HTTP.
+// Package engine is the HTTP client for model engines: streams, cancel and resume,
+// KV cache export, load reports, cache events and orders.
 package engine
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/auburnmoor/auburnmoor/port/netfault"
 )
 
-// Stream is the metadata of a stream; the prompt travels as the raw body.
+// Stream is the metadata of a stream; the prompt is sent as the raw body.
 type Stream struct {
 	ID        string   `json:"id"`
 	Attempt   uint32   `json:"attempt"`
@@ -31,16 +31,16 @@
 	Import    []Handle `json:"import,omitempty"`
 }
 
-// Handle names an exported KV cache of another engine.
+// Handle identifies an exported KV cache of another engine.
 type Handle struct {
 	Engine string `json:"engine"`
 	ID     string `json:"id"`
 	Tokens int64  `json:"tokens"`
 }
 
-// Chunk is one line of an answer. A consumer accepts a chunk only when
-// Attempt is its own and Seq is the next number; the last line has End and
-// the Count of all chunks.
+// Chunk is one line of an answer. A consumer accepts a chunk only if Attempt is its
+// own and Seq is the next number. The last line has End set and the Count of all
+// chunks.
 type Chunk struct {
 	ID      string `json:"id"`
 	Attempt uint32 `json:"attempt"`
@@ -63,13 +63,13 @@
 	Held        bool   `json:"held,omitempty"`
 }
 
-// Report is an engine's load, published with a lag.
+// Report is the load of an engine, published with a delay.
 type Report struct {
 	Engine  string `json:"engine"`
 	AtMS    int64  `json:"at_ms"`
 	KVTotal int64  `json:"kv_total"`
 	KVUsed  int64  `json:"kv_used"`
-	// Steps counts completed steps; it stands still when the engine hangs.
+	// Steps counts completed steps; it stops increasing while the engine hangs.
 	Steps   int64 `json:"steps"`
 	Queued  int   `json:"queued"`
 	Running int   `json:"running"`
@@ -83,15 +83,15 @@
 	Streams          []StreamState `json:"streams"`
 }
 
-// CacheEvent tells that a block entered or left the prefix cache. A jump of
-// Seq is a gap: events between were lost.
+// CacheEvent reports that a block was added to or evicted from the prefix cache. A
+// gap in Seq means that events were lost.
 type CacheEvent struct {
 	Seq     uint64 `json:"seq"`
 	Hash    uint64 `json:"hash"`
 	Evicted bool   `json:"evicted,omitempty"`
 }
 
-// OrderKind is what an order changes.
+// OrderKind says what an order changes.
 type OrderKind string
 
 // The kinds of order.
@@ -108,9 +108,9 @@
 	Fence  uint64    `json:"fence"`
 }
 
-// Errors of the port. NotSent means that no byte can have reached the engine.
+// Errors of Client. ErrNotSent means that no byte can have reached the engine.
 var (
-	ErrStaleFence = errors.New("order carries an old fencing number")
+	ErrStaleFence = errors.New("order carries a stale fencing token")
 	ErrNotSent    = errors.New("request did not reach the engine")
 	ErrBroken     = errors.New("stream broke before its end")
 	ErrRefused    = errors.New("engine refused the stream")
@@ -119,13 +119,13 @@
 // HeaderStream carries the JSON form of Stream.
 const HeaderStream = "X-Stream"
 
-// Client speaks to engines over HTTP.
+// Client calls engines over HTTP.
 type Client struct{ http *http.Client }
 
-// NewClient returns a client whose connection attempts end after dial.
-func NewClient(dial time.Duration) *Client {
+// NewClient returns a client whose connection attempts time out after dialTimeout.
+func NewClient(dialTimeout time.Duration) *Client {
 	t := &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: dial}).DialContext,
+		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		MaxIdleConnsPerHost: 1024,
 		IdleConnTimeout:     time.Minute,
 		DisableCompression:  true,
@@ -133,8 +133,8 @@
 	return &Client{http: &http.Client{Transport: t}}
 }
 
-// Run starts a stream and calls each for every chunk until the end.
-func (c *Client) Run(ctx context.Context, addr string, s Stream, prompt string, each func(Chunk) error) error {
+// Run starts a stream and calls onChunk for every chunk until the end.
+func (c *Client) Run(ctx context.Context, addr string, s Stream, prompt string, onChunk func(Chunk) error) error {
 	meta, err := json.Marshal(s)
 	if err != nil {
 		return err
@@ -144,20 +144,20 @@
 		return err
 	}
 	req.Header.Set(HeaderStream, string(meta))
-	return c.stream(req, each)
+	return c.stream(req, onChunk)
 }
 
-// Resume reattaches to a running stream from chunk number from.
-func (c *Client) Resume(ctx context.Context, addr, id string, from int64, each func(Chunk) error) error {
+// Resume reattaches to a running stream, starting at chunk number from.
+func (c *Client) Resume(ctx context.Context, addr, id string, from int64, onChunk func(Chunk) error) error {
 	u := fmt.Sprintf("http://%s/v1/streams/%s/resume?from=%d", addr, url.PathEscape(id), from)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, u, nil)
 	if err != nil {
 		return err
 	}
-	return c.stream(req, each)
+	return c.stream(req, onChunk)
 }
 
-func (c *Client) stream(req *http.Request, each func(Chunk) error) error {
+func (c *Client) stream(req *http.Request, onChunk func(Chunk) error) error {
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return netfault.Mark(err, ErrNotSent, ErrBroken)
@@ -177,7 +177,7 @@
 		if err := json.Unmarshal(line, &ch); err != nil {
 			return errors.Mark(errors.Wrap(err, "decoding chunk"), ErrBroken)
 		}
-		if err := each(ch); err != nil {
+		if err := onChunk(ch); err != nil {
 			return err
 		}
 		if ch.End {
@@ -191,21 +191,21 @@
 	return c.call(ctx, http.MethodPost, "http://"+addr+"/v1/streams/"+url.PathEscape(id)+"/cancel", nil, nil)
 }
 
-// Load reads the lagging load report.
+// Load returns the last published load report.
 func (c *Client) Load(ctx context.Context, addr string) (Report, error) {
 	var r Report
 	err := c.call(ctx, http.MethodGet, "http://"+addr+"/v1/load", nil, &r)
 	return r, err
 }
 
-// Events reads cache events after seq.
+// Events returns the cache events after seq.
 func (c *Client) Events(ctx context.Context, addr string, seq uint64) ([]CacheEvent, error) {
 	var out []CacheEvent
 	err := c.call(ctx, http.MethodGet, fmt.Sprintf("http://%s/v1/cache-events?since=%d", addr, seq), nil, &out)
 	return out, err
 }
 
-// Order gives an order.
+// Order sends an order.
 func (c *Client) Order(ctx context.Context, addr string, o Order) error {
 	raw, err := json.Marshal(o)
 	if err != nil {
--- a/port/instances/instances.go
+++ b/port/instances/instances.go
@@ -1,5 +1,5 @@
-// Package instances is the port to the platform's instance list, which names
-// live and leaving instances with a lag.
+// Package instances is the interface to the platform's instance list, which contains
+// alive and leaving instances and may be out of date.
 package instances
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/auburnmoor/auburnmoor"
 )
 
-// Role tells what an instance runs.
+// Role is what an instance runs.
 type Role string
 
 // The roles in the list.
@@ -24,7 +24,7 @@
 	RoleService Role = "service"
 )
 
-// Instance is one line of the list.
+// Instance is one entry of the list.
 type Instance struct {
 	Name       string `json:"name"`
 	Role       Role   `json:"role"`
@@ -34,7 +34,7 @@
 	Region     string `json:"region"`
 	// Service is the plain service that a RoleService instance runs.
 	Service string `json:"service,omitempty"`
-	// Fencing tells whether an engine refuses old fencing numbers.
+	// Fencing is set if an engine rejects stale fencing tokens.
 	Fencing bool `json:"fencing,omitempty"`
 	Leaving bool `json:"leaving,omitempty"`
 }
@@ -50,11 +50,11 @@
 // Source is implemented by the module that provides the instance list.
 type Source interface{ Lister() Lister }
 
-// Seeder is implemented by a list that knows some instances without a call. They may
-// be gone.
+// Seeder is implemented by a list that knows some instances without a request. They
+// may no longer exist.
 type Seeder interface{ Seeds() []Instance }
 
-// Registrar is implemented by a list into which instances put themselves. Both
+// Registrar is implemented by a list in which instances register themselves. Both
 // calls are idempotent.
 type Registrar interface {
 	Register(ctx context.Context, self Instance) error
--- a/port/netfault/netfault.go
+++ b/port/netfault/netfault.go
@@ -1,4 +1,5 @@
-// Package netfault tells failures before a byte was sent from later ones.
+// Package netfault distinguishes network errors before a byte was sent from later
+// ones.
 package netfault
 
 import (
@@ -7,8 +8,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Mark marks err as notSent when it is a failed connection attempt, after
-// which no byte can have reached the server, and as broken otherwise.
+// Mark marks err as notSent if the connection attempt failed, so that no byte can
+// have reached the server, and as broken otherwise.
 func Mark(err, notSent, broken error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
--- a/port/objectapi/objectapi.go
+++ b/port/objectapi/objectapi.go
@@ -1,5 +1,5 @@
-// Package objectapi is the port to the platform's object API: versioned
-// objects, conditional updates and watches over HTTP.
+// Package objectapi is the client for the platform's object API: versioned objects,
+// conditional updates and watches over HTTP.
 package objectapi
 
 import (
@@ -20,7 +20,7 @@
 // MaxValue is the largest value in bytes that the platform stores.
 const MaxValue = 1 << 20
 
-// Object is one stored value. Version rises with every write of the key and is
+// Object is one stored value. Version increases with every write of the key and is
 // zero for a key that does not exist.
 type Object struct {
 	Key     string `json:"key"`
@@ -28,8 +28,8 @@
 	Value   []byte `json:"value"`
 }
 
-// Errors of the port. ErrUnknown means that a write may or may not have taken
-// effect; only reading back can tell.
+// Errors of Store. ErrUnknown means that a write may or may not have taken effect;
+// only reading the key again can tell.
 var (
 	ErrNotFound    = errors.New("object not found")
 	ErrConflict    = errors.New("object version conflict")
@@ -38,21 +38,24 @@
 	ErrTooLarge    = errors.New("value exceeds the platform's limit")
 )
 
-// FirstEra is the era of a platform that never came back from an older copy.
+// FirstEra is the era of a platform that was never restored from an older copy.
 const FirstEra = 1
 
-// Store is what the system asks of the platform.
+// Store is the part of the object API in use.
 type Store interface {
 	Get(ctx context.Context, key string) (Object, error)
 	List(ctx context.Context, prefix string) ([]Object, error)
-	// Put writes value if the key's version is expect; zero means absent.
+	// Put writes value if the version of the key is expect; zero means that the key
+	// does not exist.
 	Put(ctx context.Context, key string, value []byte, expect uint64) (uint64, error)
 	Delete(ctx context.Context, key string, expect uint64) error
-	// Watch waits until key's version differs from have or wait passes.
+	// Watch waits until the version of the key differs from have, or until wait has
+	// passed.
 	Watch(ctx context.Context, key string, have uint64, wait time.Duration) (Object, error)
-	// Era is the newest era that an answer told. It rises when the platform comes back
-	// from an older copy of its objects; versions read in an earlier one name nothing.
-	// Asked before a call, it is the earliest that the call's answer can be of.
+	// Era returns the newest era reported by an answer. It increases when the platform
+	// is restored from an older copy of its objects; versions from an earlier era are
+	// then invalid. An answer is never from an earlier era than Era returned before
+	// the call.
 	Era() uint64
 }
 
@@ -63,11 +66,11 @@
 	HeaderEra     = "X-Object-Era"
 )
 
-// Client speaks the platform's HTTP protocol.
+// Client calls the object API over HTTP.
 type Client struct {
 	base string
 	http *http.Client
-	// Calls counts requests by method, as the platform does.
+	// Count is called with the method of each request, as the platform counts them.
 	Count func(method string)
 	era   atomic.Uint64
 }
@@ -75,7 +78,7 @@
 // Era implements Store.
 func (c *Client) Era() uint64 { return c.era.Load() }
 
-// EraKnown notes an era that another instance told of.
+// EraKnown records an era that another instance reported.
 func (c *Client) EraKnown(era uint64) {
 	for {
 		old := c.era.Load()
@@ -85,9 +88,10 @@
 	}
 }
 
-var errOldEra = errors.New("answer of an earlier era")
+var errOldEra = errors.New("answer from an earlier era")
 
-// checkEra notes the era of an answer. One of an earlier era comes late and says nothing.
+// checkEra records the era of an answer. An answer from an earlier era is late and
+// rejected.
 func (c *Client) checkEra(resp *http.Response) error {
 	era, err := strconv.ParseUint(resp.Header.Get(HeaderEra), 10, 64)
 	known := c.era.Load()
@@ -152,8 +156,8 @@
 	return out, nil
 }
 
-// Put implements Store. A transport error after sending is ErrUnknown: the
-// platform may have applied the write and lost only the reply.
+// Put implements Store. A transport error is ErrUnknown: the platform may have
+// applied the write and only the reply was lost.
 func (c *Client) Put(ctx context.Context, key string, value []byte, expect uint64) (uint64, error) {
 	if len(value) > MaxValue {
 		return 0, ErrTooLarge
@@ -168,8 +172,8 @@
 		return version(resp), err
 	}
 	if c.Era() != era && era != 0 {
-		// expect was read in another era, where it named other content.
-		return 0, errors.Wrap(ErrUnknown, "the platform's era ended meanwhile")
+		// expect was read in another era, in which it referred to other content.
+		return 0, errors.Wrap(ErrUnknown, "the platform's era changed during the write")
 	}
 	return version(resp), nil
 }
@@ -184,8 +188,8 @@
 	return statusError(resp.StatusCode)
 }
 
-func (c *Client) do(ctx context.Context, count, method, u string, body []byte, expect *uint64) (*http.Response, error) {
-	c.Count(count)
+func (c *Client) do(ctx context.Context, callName, method, u string, body []byte, expect *uint64) (*http.Response, error) {
+	c.Count(callName)
 	req, err := http.NewRequestWithContext(ctx, method, u, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
--- a/port/service/service.go
+++ b/port/service/service.go
@@ -1,5 +1,5 @@
-// Package service is the port to plain services: one HTTP call whose answer is
-// read whole before any of it is shown.
+// Package service is the HTTP client for plain services. It reads the whole answer
+// of a call before it returns.
 package service
 
 import (
@@ -15,10 +15,10 @@
 	"github.com/auburnmoor/auburnmoor/port/netfault"
 )
 
-// MaxAnswer bounds an answer in bytes.
+// MaxAnswer is the maximum size of an answer in bytes.
 const MaxAnswer = 16 << 20
 
-// Errors of the port. ErrNotSent promises that no byte reached the server.
+// Errors of Client. ErrNotSent guarantees that no byte reached the server.
 var (
 	ErrNotSent  = errors.New("call did not reach the server")
 	ErrBroken   = errors.New("call failed after it was sent")
@@ -34,7 +34,7 @@
 	Body   []byte
 }
 
-// Answer is a whole answer.
+// Answer is a complete answer.
 type Answer struct {
 	Status int
 	Header http.Header
@@ -44,11 +44,11 @@
 // Client calls plain services.
 type Client struct{ http *http.Client }
 
-// NewClient returns a client whose connection attempts end after dial.
-func NewClient(dial time.Duration) *Client {
+// NewClient returns a client whose connection attempts time out after dialTimeout.
+func NewClient(dialTimeout time.Duration) *Client {
 	return &Client{http: &http.Client{
 		Transport: &http.Transport{
-			DialContext:         (&net.Dialer{Timeout: dial}).DialContext,
+			DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
 			MaxIdleConnsPerHost: 256,
 			IdleConnTimeout:     time.Minute,
 			DisableCompression:  true,
@@ -57,9 +57,8 @@
 	}}
 }
 
-// Do makes a call. The transport repeats by itself only requests that it
-// believes idempotent and that failed on a reused connection; GetBody is
-// removed so that it never does.
+// Do makes a call. The transport retries by itself requests that it considers
+// idempotent and that failed on a reused connection. Clearing GetBody prevents that.
 func (c *Client) Do(ctx context.Context, addr string, call Call) (Answer, error) {
 	u := "http://" + addr + call.Path
 	if call.Query != "" {
--- a/port/weights/weights.go
+++ b/port/weights/weights.go
@@ -1,4 +1,4 @@
-// Package weights is the port to the weight store, which is rate-limited.
+// Package weights is the client for the rate-limited weight store.
 package weights
 
 import (
@@ -9,21 +9,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Errors of the port.
+// Errors of Client.
 var (
-	ErrNotFound = errors.New("no such weights")
-	ErrLimited  = errors.New("weight store limits the rate")
+	ErrNotFound = errors.New("weights not found")
+	ErrLimited  = errors.New("weight store rate limit exceeded")
 )
 
-// Client asks the weight store over HTTP.
+// Client calls the weight store over HTTP.
 type Client struct{ base string }
 
 // NewClient returns a client of the weight store at addr (host:port).
 func NewClient(addr string) *Client { return &Client{base: "http://" + addr + "/weights/"} }
 
-// Reserve asks for one load of a model's weights. Engines fetch the weights
-// themselves; asking first keeps loads within the store's rate and catches a
-// model that does not exist before an engine is told to load it.
+// Reserve requests permission for one load of a model's weights. Engines fetch the
+// weights themselves; reserving first keeps loads within the store's rate limit and
+// detects a missing model before an engine is ordered to load it.
 func (c *Client) Reserve(ctx context.Context, model string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+url.PathEscape(model), nil)
 	if err != nil {
