--- a/serve/api/openai_test.go
+++ b/serve/api/openai_test.go
@@ -42,9 +42,9 @@
 })
 
 var _ = Describe("an answer's chunks", func() {
-	// An engine that sends a chunk of another stream would show a caller someone
-	// else's answer. Chunks are therefore matched by stream id and attempt, not by
-	// connection, and counted at the end.
+	// If an engine answers one stream with a chunk of another, a caller would see
+	// someone else's answer. Chunks are therefore matched by stream id, which names
+	// the attempt, not by connection, and counted at the end.
 	It("are accepted only in order, once each, from their own stream, and with a matching count", func() {
 		order := sequence.From(0)
 		take := func(ch engine.Chunk) error { _, err := checkChunk("s.1", &order, ch); return err }
