--- a/serve/api/once.go
+++ b/serve/api/once.go
@@ -138,7 +138,7 @@
 	ctx, cancel := context.WithTimeout(c.Request().Context(), w.timeBudget)
 	defer cancel()
 	out := w.sink(c, r)
-	order, u := sequence.From(0), usage{}
+	order, u := sequence.StartingAt(0), usage{}
 	err := a.disp.Engine().Resume(ctx, a.disp.Addr(engineName), stream, 0, func(ch engine.Chunk) error {
 		text, err := checkChunk(stream, &order, ch)
 		if ch.End && err == nil {
--- a/serve/api/session.go
+++ b/serve/api/session.go
@@ -100,7 +100,7 @@
 func (s *session) startAttempt(ctx context.Context, st dispatch.Start) {
 	s.stopAttempt()
 	if !st.Resume {
-		s.order = sequence.From(0)
+		s.order = sequence.StartingAt(0)
 		s.sink.discard()
 	}
 	if st.Segment != nil && st.Segment.FromToken == 0 {
@@ -130,7 +130,7 @@
 	}
 	addr := s.disp.Addr(st.Engine)
 	if st.Resume {
-		res.err = s.disp.Engine().Resume(ctx, addr, dispatch.StreamID(st.ID, st.Attempt), s.order.Following(), onChunk)
+		res.err = s.disp.Engine().Resume(ctx, addr, dispatch.StreamID(st.ID, st.Attempt), s.order.Expected(), onChunk)
 	} else {
 		res.err = s.disp.Engine().Run(ctx, addr, s.newStream(st), s.segmentText(st), onChunk)
 	}
@@ -168,7 +168,7 @@
 // acceptChunk validates the next chunk of the attempt and passes its text to the
 // sink.
 func (s *session) acceptChunk(st dispatch.Start, ch engine.Chunk) error {
-	next := s.order.Following()
+	next := s.order.Expected()
 	text, err := checkChunk(dispatch.StreamID(st.ID, st.Attempt), &s.order, ch)
 	switch {
 	case err != nil:
@@ -176,7 +176,7 @@
 	case ch.End:
 		s.usage = usageOf(s.priorTokens, ch)
 		return nil
-	case s.order.Following() == next:
+	case s.order.Expected() == next:
 		return nil
 	case next == 0:
 		s.disp.Report(dispatch.StreamFirstToken{ID: st.ID, Attempt: st.Attempt, Cached: ch.Cached})
@@ -192,13 +192,13 @@
 		return "", errWrongStream
 	}
 	if ch.End {
-		if ch.Count != order.Following() {
+		if ch.Count != order.Expected() {
 			return "", errMissingChunks
 		}
 		return "", nil
 	}
 	switch order.Take(ch.Seq) {
-	case sequence.Again:
+	case sequence.Duplicate:
 		return "", nil
 	case sequence.Gap:
 		return "", errMissingChunks
--- a/serve/relay/log.go
+++ b/serve/relay/log.go
@@ -15,7 +15,7 @@
 	x.relay.scope.Tagged(map[string]string{"kind": x.route.Kind.String()}).Histogram("first_seconds", buckets.Durations).RecordDuration(x.firstLatency)
 	x.log("answered", zap.String("server", plan.Writer().ID), zap.Int("helpers", len(plan.Helpers())),
 		zap.Duration("predicted", plan.FirstEvent), zap.Duration("first", x.firstLatency), zap.Duration("longest_gap", x.longestGap), zap.Bool("waiting", plan.Queued),
-		zap.Duration("first_target", x.route.FirstTarget), zap.Duration("gap_target", x.route.GapTarget),
+		zap.Duration("first_target", x.route.FirstEventTarget), zap.Duration("gap_target", x.route.GapTarget),
 		zap.Duration("gap_read", x.gapLoad.UnconfirmedPrefill), zap.Duration("gap_pass", spread.PassTime(x.service.Engine, x.gapLoad)))
 }
 
@@ -25,7 +25,7 @@
 	x.relay.log.Info("placed", zap.String("request", x.req.ID), zap.String("route", x.route.Name), zap.Uint64("version", x.version),
 		zap.String("customer", x.customer), zap.Int64("prompt", x.req.PromptTokens), zap.String("server", plan.Writer().ID),
 		zap.Strings("helpers", serverIDs(plan)[1:]), zap.Duration("predicted", plan.FirstEvent), zap.Bool("waiting", plan.Queued),
-		zap.Duration("held", x.heldFor), zap.Stringer("servers_at", snap.At), zap.Duration("servers_age", x.relay.catalog.Age()), zap.Duration("left", x.remaining()))
+		zap.Duration("held", x.heldFor), zap.Stringer("servers_at", snap.At), zap.Duration("servers_age", x.relay.catalog.ConfirmationAge()), zap.Duration("left", x.remaining()))
 }
 
 func (x *exchange) log(msg string, fields ...zap.Field) { x.relay.log.Info(msg, x.fields(fields)...) }
