--- a/port/backend/backend.go
+++ b/port/backend/backend.go
@@ -44,7 +44,7 @@
 	Body      []byte
 	RequestID string
 	Customer  string
-	// Left is the time remaining for the server.
+	// RemainingTime is the time that the server may take.
 	Left time.Duration
 	// Rank orders requests queued at the server; 0 is the most urgent.
 	Rank int
@@ -111,7 +111,7 @@
 	Reserve(ctx context.Context, r Reservation) (bool, error)
 	// Release ends a reservation.
 	Release(ctx context.Context, r Reservation) error
-	// Refuses reports whether an address refuses connections, as it does after the
+	// RefusesConnections reports whether an address refuses connections, as it does after the
 	// server process ended. It returns false if that is not known.
 	Refuses(ctx context.Context, addr string) bool
 }
