--- a/port/catalog/catalog.go
+++ b/port/catalog/catalog.go
@@ -30,7 +30,7 @@
 	// ErrUnreadable means that a configuration cannot be decoded. The position returned
 	// with it is the one to watch from.
 	ErrUnreadable = errors.New("configuration cannot be read")
-	// ErrNone means that no configuration was accepted up to the position returned with
+	// ErrNoConfig means that no configuration was accepted up to the position returned with
 	// it.
 	ErrNone = errors.New("no configuration accepted yet")
 )
@@ -79,7 +79,7 @@
 	WatchConfig(ctx context.Context, after position.Position, wait time.Duration) (*Config, position.Position, error)
 	// Decode decodes a configuration received from another instance.
 	Decode(raw []byte) (Config, error)
-	// EraKnown records an era of the store that another instance reported. It ends
+	// ObserveEra records an era of the store that another instance reported. It ends
 	// watches of earlier eras, and answers from those are rejected from then on.
 	EraKnown(era uint64)
 	// Era returns the newest known era, or zero.
--- a/port/objectapi/objectapi.go
+++ b/port/objectapi/objectapi.go
@@ -78,7 +78,7 @@
 // Era implements Store.
 func (c *Client) Era() uint64 { return c.era.Load() }
 
-// EraKnown records an era that another instance reported.
+// ObserveEra records an era that another instance reported.
 func (c *Client) EraKnown(era uint64) {
 	for {
 		old := c.era.Load()
