--- a/port/backend/backend.go
+++ b/port/backend/backend.go
@@ -45,7 +45,7 @@
 	RequestID string
 	Customer  string
 	// RemainingTime is the time that the server may take.
-	Left time.Duration
+	RemainingTime time.Duration
 	// Rank orders requests queued at the server; 0 is the most urgent.
 	Rank int
 	// Helpers prefill parts of the prompt.
@@ -113,5 +113,5 @@
 	Release(ctx context.Context, r Reservation) error
 	// RefusesConnections reports whether an address refuses connections, as it does after the
 	// server process ended. It returns false if that is not known.
-	Refuses(ctx context.Context, addr string) bool
+	RefusesConnections(ctx context.Context, addr string) bool
 }
--- a/serve/relay/exchange.go
+++ b/serve/relay/exchange.go
@@ -320,7 +320,7 @@
 	w := plan.Writer()
 	c := backend.Call{
 		Server: w.ID, Life: w.Life, Addr: w.Addr, Method: x.req.Method, Target: x.req.Target, Host: x.req.Host, Header: x.req.Header, Body: x.req.Body,
-		RequestID: x.req.ID, Customer: x.customer, Left: x.remaining(), Rank: x.rank, ResumeAfter: x.req.ResumeAfter,
+		RequestID: x.req.ID, Customer: x.customer, RemainingTime: x.remaining(), Rank: x.rank, ResumeAfter: x.req.ResumeAfter,
 	}
 	if x.splitter.lastID != "" {
 		c.ResumeAfter = x.splitter.lastID
--- a/serve/relay/relay.go
+++ b/serve/relay/relay.go
@@ -127,7 +127,7 @@
 	}
 	r.log, r.now, r.scope, r.client, r.dataCentre = c.Log, c.Now, c.Scope, src.Backends(), c.Self.DataCentre
 	r.name = c.Self.Name
-	r.crashes = &crashDetector{refusesConn: r.client.Refuses, count: r.scope.Counter("server_crashes_total")}
+	r.crashes = &crashDetector{refusesConn: r.client.RefusesConnections, count: r.scope.Counter("server_crashes_total")}
 	r.rand, r.pools = rand.New(rand.NewPCG(c.Seed, 3)), map[string]*pool{}
 	return nil
 }
