--- a/control/claims/claims.go
+++ b/control/claims/claims.go
@@ -222,7 +222,7 @@
 func (c *Claims) receive(from string, env *peerpb.Envelope) {
 	switch b := env.Body.(type) {
 	case *peerpb.Envelope_Gossip:
-		c.store.EraKnown(b.Gossip.StoreEra)
+		c.store.ObserveEra(b.Gossip.StoreEra)
 	case *peerpb.Envelope_Reclaims:
 		for _, r := range b.Reclaims.Claims {
 			c.events.Offer(claim.Reclaimed{Claim: r})
--- a/control/follow/config.go
+++ b/control/follow/config.go
@@ -70,7 +70,7 @@
 		},
 		read: func(ctx context.Context, staleOK bool) (position.Position, error) {
 			c, err := f.catalog.Config(ctx, staleOK)
-			if errors.Is(err, catalog.ErrNone) {
+			if errors.Is(err, catalog.ErrNoConfig) {
 				f.log.Info("the store holds no configuration yet")
 				f.advanceConfigAt(c.At)
 				return c.At, nil
--- a/control/follow/era.go
+++ b/control/follow/era.go
@@ -9,7 +9,7 @@
 // learnEra handles a store era reported by a peer.
 func (f *Follower) learnEra(era uint64) {
 	if era > f.catalog.Era() {
-		f.catalog.EraKnown(era)
+		f.catalog.ObserveEra(era)
 		f.handleNewEra()
 	}
 }
--- a/port/catalog/catalog.go
+++ b/port/catalog/catalog.go
@@ -32,7 +32,7 @@
 	ErrUnreadable = errors.New("configuration cannot be read")
 	// ErrNoConfig means that no configuration was accepted up to the position returned with
 	// it.
-	ErrNone = errors.New("no configuration accepted yet")
+	ErrNoConfig = errors.New("no configuration accepted yet")
 )
 
 // Servers is the full list of servers.
@@ -81,7 +81,7 @@
 	Decode(raw []byte) (Config, error)
 	// ObserveEra records an era of the store that another instance reported. It ends
 	// watches of earlier eras, and answers from those are rejected from then on.
-	EraKnown(era uint64)
+	ObserveEra(era uint64)
 	// Era returns the newest known era, or zero.
 	Era() uint64
 }
--- a/port/objectapi/objectapi.go
+++ b/port/objectapi/objectapi.go
@@ -79,7 +79,7 @@
 func (c *Client) Era() uint64 { return c.era.Load() }
 
 // ObserveEra records an era that another instance reported.
-func (c *Client) EraKnown(era uint64) {
+func (c *Client) ObserveEra(era uint64) {
 	for {
 		old := c.era.Load()
 		if era <= old || c.era.CompareAndSwap(old, era) {
@@ -101,7 +101,7 @@
 	if err != nil || era < known {
 		return errors.Wrapf(errOldEra, "era %q, the newest known is %d", resp.Header.Get(HeaderEra), known)
 	}
-	c.EraKnown(era)
+	c.ObserveEra(era)
 	return nil
 }
 
