--- a/port/weights/weights.go
+++ b/port/weights/weights.go
@@ -12,7 +12,7 @@
 // Errors of Client.
 var (
 	ErrNotFound = errors.New("weights not found")
-	ErrLimited  = errors.New("weight store rate limit exceeded")
+	ErrRateLimited  = errors.New("weight store rate limit exceeded")
 )
 
 // Client calls the weight store over HTTP.
@@ -40,7 +40,7 @@
 	case http.StatusNotFound:
 		return ErrNotFound
 	case http.StatusTooManyRequests:
-		return ErrLimited
+		return ErrRateLimited
 	default:
 		return errors.Newf("weight store answered %d", resp.StatusCode)
 	}
--- a/serve/entries/entries.go
+++ b/serve/entries/entries.go
@@ -41,13 +41,13 @@
 // Answer holds the addresses for a caller and how long it may cache them.
 type Answer struct {
 	Addrs []string
-	Keep  time.Duration
+	CacheTTL  time.Duration
 }
 
 // For returns the answer for a caller in a data centre. No address means that this
 // instance knows of no serving instance, itself included.
 func (e *Entries) For(dataCentre string) Answer {
-	return Answer{Addrs: Choose(e.members.View().Alive, dataCentre, rand.Shuffle), Keep: answerTTL}
+	return Answer{Addrs: Choose(e.members.View().Alive, dataCentre, rand.Shuffle), CacheTTL: answerTTL}
 }
 
 // Choose returns up to maxAddrs addresses of serving instances in random order,
