--- a/port/weights/weights.go
+++ b/port/weights/weights.go
@@ -11,8 +11,8 @@
 
 // Errors of Client.
 var (
-	ErrNotFound = errors.New("weights not found")
-	ErrRateLimited  = errors.New("weight store rate limit exceeded")
+	ErrNotFound    = errors.New("weights not found")
+	ErrRateLimited = errors.New("weight store rate limit exceeded")
 )
 
 // Client calls the weight store over HTTP.
--- a/serve/entries/entries.go
+++ b/serve/entries/entries.go
@@ -40,8 +40,8 @@
 
 // Answer holds the addresses for a caller and how long it may cache them.
 type Answer struct {
-	Addrs []string
-	CacheTTL  time.Duration
+	Addrs    []string
+	CacheTTL time.Duration
 }
 
 // For returns the answer for a caller in a data centre. No address means that this
