--- a/control/loads/loads.go
+++ b/control/loads/loads.go
@@ -141,9 +141,9 @@
 	return p, spread.Placed
 }
 
-// FirstEvent records the end of a request's prefill on all its servers. Helpers count the
+// EndPrefill records the end of a request's prefill on all its servers. Helpers count the
 // prompt against their limit of concurrent parts until then.
-func (l *Loads) FirstEvent(p spread.Plan) {
+func (l *Loads) EndPrefill(p spread.Plan) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, part := range p.Parts {
@@ -153,8 +153,8 @@
 	l.wake()
 }
 
-// End removes the decode load of a placed request, which FirstEvent leaves in place.
-func (l *Loads) End(p spread.Plan) {
+// EndDecode removes the decode load of a placed request, which FirstEvent leaves in place.
+func (l *Loads) EndDecode(p spread.Plan) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, part := range p.Parts {
@@ -168,8 +168,8 @@
 	l.updateQueue(func(q *spread.Queue) { q.Hold(t) })
 }
 
-// Leave removes a prompt that Hold recorded.
-func (l *Loads) Leave(request string) {
+// Release removes a prompt that Hold recorded.
+func (l *Loads) Release(request string) {
 	l.updateQueue(func(q *spread.Queue) { q.Release(request) })
 }
 
@@ -186,9 +186,9 @@
 	}
 }
 
-// TurnedAway records that a server rejected work although it should have had capacity, and
+// RecordRejection records that a server rejected work although it should have had capacity, and
 // reports it to cell peers. storeSilent says that the store has not answered for a while.
-func (l *Loads) TurnedAway(s backends.Server, storeSilent bool) {
+func (l *Loads) RecordRejection(s backends.Server, storeSilent bool) {
 	l.mu.Lock()
 	pause, fresh := l.away.RecordRejection(l.now(), away.KeyOf(s), storeSilent)
 	l.wake()
@@ -199,16 +199,16 @@
 	}
 }
 
-// Present returns the servers without those that are passed over because they rejected work
+// Available returns the servers without those that are passed over because they rejected work
 // of this instance or of a cell peer.
-func (l *Loads) Present(servers []backends.Server) []backends.Server {
+func (l *Loads) Available(servers []backends.Server) []backends.Server {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.away.Available(l.now(), servers)
 }
 
-// Of returns the load that all instances of the cell have placed on a server.
-func (l *Loads) Of(server string) spread.Load {
+// Total returns the load that all instances of the cell have placed on a server.
+func (l *Loads) Total(server string) spread.Load {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ledger.Advance(l.now())
@@ -223,10 +223,10 @@
 	return spread.Backlog(servers, l.ledger.Total)
 }
 
-// Blind reports whether this instance started too recently to know the work that its
+// WarmingUp reports whether this instance started too recently to know the work that its
 // cell peers have placed. Instances that start together and take all servers for idle would
 // all choose the same ones.
-func (l *Loads) Blind() bool {
+func (l *Loads) WarmingUp() bool {
 	if l.now() > maxWarmUp {
 		return false
 	}
--- a/control/loads/loads_test.go
+++ b/control/loads/loads_test.go
@@ -43,9 +43,9 @@
 		}
 		receive(2, 7, 3)
 		receive(1, 7, 0)
-		Expect(l.Of("s").Calls).To(Equal(int64(3)))
+		Expect(l.Total("s").Calls).To(Equal(int64(3)))
 		receive(1, 8, 5)
-		Expect(l.Of("s").Calls).To(Equal(int64(5)), "a new incarnation restarts its sequence")
+		Expect(l.Total("s").Calls).To(Equal(int64(5)), "a new incarnation restarts its sequence")
 	})
 
 	// An instance of another cell with a member list that differs for a moment reports work
@@ -53,16 +53,16 @@
 	It("are counted from cell peers only", func() {
 		l.receive("a", report(2))
 		l.receive("stranger", report(5))
-		Expect(l.Of("s").Calls).To(Equal(int64(2)))
+		Expect(l.Total("s").Calls).To(Equal(int64(2)))
 	})
 
 	It("are awaited from all cell peers after start", func() {
-		Expect(l.Blind()).To(BeTrue())
+		Expect(l.WarmingUp()).To(BeTrue())
 		l.receive("a", report(1))
 		l.receive("stranger", report(1))
-		Expect(l.Blind()).To(BeTrue())
+		Expect(l.WarmingUp()).To(BeTrue())
 		l.receive("b", report(0))
-		Expect(l.Blind()).To(BeFalse())
+		Expect(l.WarmingUp()).To(BeFalse())
 	})
 
 	It("are added to the work placed by this instance", func() {
@@ -72,19 +72,19 @@
 			return spread.Plan{Parts: []spread.Part{{Server: backends.Server{ID: "s"}, Load: spread.Load{Calls: 1}}}}, spread.Placed
 		})
 		Expect(v).To(Equal(spread.Placed))
-		Expect(l.Of("s").Calls).To(Equal(int64(3)))
+		Expect(l.Total("s").Calls).To(Equal(int64(3)))
 	})
 
 	// Otherwise each instance (88 in one run) loses requests to learn that a server left.
 	It("tell cell peers which servers rejected work", func() {
 		servers := []backends.Server{{ID: "s", Life: 1}, {ID: "t", Life: 1}, {ID: "u", Life: 1}, {ID: "v", Life: 1}}
-		Expect(l.Present(servers)).To(HaveLen(4))
+		Expect(l.Available(servers)).To(HaveLen(4))
 		r := report(0).GetLoadReport()
 		encodeRejections(r, map[away.Key]time.Duration{away.KeyOf(servers[0]): time.Second})
 		l.receive("a", &peerpb.Envelope{Body: &peerpb.Envelope_LoadReport{LoadReport: r}})
-		Expect(l.Present(servers)).To(Equal(servers[1:]))
-		l.TurnedAway(servers[1], true)
-		Expect(l.Present(servers)).To(Equal(servers[2:]))
+		Expect(l.Available(servers)).To(Equal(servers[1:]))
+		l.RecordRejection(servers[1], true)
+		Expect(l.Available(servers)).To(Equal(servers[2:]))
 		Expect(l.away.Observed(time.Second)).To(HaveLen(1), "each instance reports only its own observations")
 	})
 
@@ -92,6 +92,6 @@
 		r := report(3).GetLoadReport()
 		r.Away = []uint32{1}
 		l.receive("a", &peerpb.Envelope{Body: &peerpb.Envelope_LoadReport{LoadReport: r}})
-		Expect(l.Of("s").Calls).To(BeZero())
+		Expect(l.Total("s").Calls).To(BeZero())
 	})
 })
--- a/serve/relay/answer.go
+++ b/serve/relay/answer.go
@@ -103,7 +103,7 @@
 	}
 	x.longestGap = x.newestGap
 	if x.longestGap > x.route.GapTarget {
-		x.gapLoad = x.relay.loads.Of(plan.Writer().ID)
+		x.gapLoad = x.relay.loads.Total(plan.Writer().ID)
 	}
 }
 
--- a/serve/relay/exchange.go
+++ b/serve/relay/exchange.go
@@ -260,7 +260,7 @@
 	}
 	r.observeBacklog(x.service.Name, servers)
 	req.Draw = rand.Float64()
-	if r.loads.Blind() {
+	if r.loads.WarmingUp() {
 		req.Rotation = 1 + rand.IntN(maxRandomOffset)
 	}
 	return r.loads.Place(func(load func(string) spread.Load, held *spread.Queue) (spread.Plan, spread.Verdict) {
@@ -360,7 +360,7 @@
 	}
 	id := part.Server.ID
 	if x.hadRoom(part) {
-		x.relay.loads.TurnedAway(part.Server, x.relay.catalog.ConfigState() != knowledge.Confirmed)
+		x.relay.loads.RecordRejection(part.Server, x.relay.catalog.ConfigState() != knowledge.Confirmed)
 	} else if id != plan.Writer().ID {
 		x.relay.suspend(x.service.Name, id)
 	}
@@ -375,7 +375,7 @@
 // store lists it as leaving, each request placed there loses an attempt, and one that
 // meets two such servers is refused.
 func (x *exchange) hadRoom(p spread.Part) bool {
-	l := x.relay.loads.Of(p.Server.ID)
+	l := x.relay.loads.Total(p.Server.ID)
 	if p.Load.Calls > 0 {
 		return l.HasSlots(p.Server.Slots)
 	}
--- a/serve/relay/health.go
+++ b/serve/relay/health.go
@@ -75,7 +75,7 @@
 		return
 	}
 	r, id := x.relay, plan.Writer().ID
-	expected := spread.PassTime(x.service.Engine, r.loads.Of(id))
+	expected := spread.PassTime(x.service.Engine, r.loads.Total(id))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.pool(x.service.Name)
--- a/serve/relay/hold.go
+++ b/serve/relay/hold.go
@@ -79,7 +79,7 @@
 func (x *exchange) joinQueue() (leave func()) {
 	l := x.relay.loads
 	if x.isDeep() {
-		return func() { l.Leave(x.req.ID) }
+		return func() { l.Release(x.req.ID) }
 	}
 	l.WaitForSlot(1)
 	return func() { l.WaitForSlot(-1) }
--- a/serve/relay/load.go
+++ b/serve/relay/load.go
@@ -19,10 +19,10 @@
 		return
 	}
 	p.prefillEnded = true
-	p.loads.FirstEvent(p.plan)
+	p.loads.EndPrefill(p.plan)
 }
 
 func (p *placedLoad) end() {
 	p.firstEvent()
-	p.loads.End(p.plan)
+	p.loads.EndDecode(p.plan)
 }
--- a/serve/relay/relay.go
+++ b/serve/relay/relay.go
@@ -287,7 +287,7 @@
 	if len(out) == 0 {
 		out = ready
 	}
-	return r.loads.Present(out), len(share)
+	return r.loads.Available(out), len(share)
 }
 
 // inRotation returns the servers neither ejected nor suspended; r.mu must be held.
--- a/serve/relay/timeout.go
+++ b/serve/relay/timeout.go
@@ -61,5 +61,5 @@
 	if x.relay.meanBacklog(x.service.Name) > overloadBacklog {
 		return true
 	}
-	return x.relay.loads.Of(plan.Writer().ID).Calls > int64(x.service.Engine.Slots)
+	return x.relay.loads.Total(plan.Writer().ID).Calls > int64(x.service.Engine.Slots)
 }
