--- a/control/quarantine/quarantine.go
+++ b/control/quarantine/quarantine.go
@@ -90,8 +90,8 @@
 // Empty reports whether there are no records of any request.
 func (q *Quarantine) Empty() bool { return q.recordCount.Load() == 0 }
 
-// Judge assesses a request before it is sent to one of the given number of servers.
-func (q *Quarantine) Judge(k poison.Key, servers int) (r poison.Assessment) {
+// Assess assesses a request before it is sent to one of the given number of servers.
+func (q *Quarantine) Assess(k poison.Key, servers int) (r poison.Assessment) {
 	if q.Off {
 		return r
 	}
@@ -99,8 +99,8 @@
 	return r
 }
 
-// Crashed records that one of the given number of servers crashed while it ran a request.
-func (q *Quarantine) Crashed(k poison.Key, c poison.Crash, server string, servers int) {
+// RecordCrash records that one of the given number of servers crashed while it ran a request.
+func (q *Quarantine) RecordCrash(k poison.Key, c poison.Crash, server string, servers int) {
 	q.withTable(func(t *poison.Table) {
 		t.AddCrash(q.now(), k, c)
 		r := t.Assess(q.now(), k, servers)
@@ -111,13 +111,13 @@
 	})
 }
 
-// Failed records that a client's request ended without an answer from a server.
-func (q *Quarantine) Failed(k poison.Key) {
+// RecordFailure records that a client's request ended without an answer from a server.
+func (q *Quarantine) RecordFailure(k poison.Key) {
 	q.withTable(func(t *poison.Table) { t.MarkFailed(k) })
 }
 
-// Answered records that a server answered a request, which clears it of earlier crashes.
-func (q *Quarantine) Answered(k poison.Key) {
+// RecordAnswer records that a server answered a request, which clears it of earlier crashes.
+func (q *Quarantine) RecordAnswer(k poison.Key) {
 	q.withTable(func(t *poison.Table) { t.MarkAnswered(q.now(), k) })
 }
 
@@ -230,7 +230,7 @@
 		return err
 	}
 	q.log.Info("request cleared by an operator", zap.Stringer("identity", k))
-	q.Answered(k)
+	q.RecordAnswer(k)
 	return nil
 }
 
--- a/serve/relay/quarantine.go
+++ b/serve/relay/quarantine.go
@@ -53,7 +53,7 @@
 func (x *exchange) checkQuarantine(ctx context.Context) bool {
 	q := x.relay.quarantine
 	for !q.Empty() {
-		ruling := q.Judge(x.identity(), x.relay.readyCount(x.service.Name))
+		ruling := q.Assess(x.identity(), x.relay.readyCount(x.service.Name))
 		x.suspect = ruling.Verdict == poison.Suspect
 		if ruling.Verdict == poison.Poisonous {
 			x.relay.log.Warn("request quarantined, servers crashed while running it", zap.String("request", x.req.ID), zap.Stringer("identity", x.identity()),
@@ -75,7 +75,7 @@
 // quarantined reports whether the request is by now known to crash servers.
 func (x *exchange) quarantined() bool {
 	q := x.relay.quarantine
-	return !q.Empty() && q.Judge(x.identity(), x.relay.readyCount(x.service.Name)).Verdict == poison.Poisonous
+	return !q.Empty() && q.Assess(x.identity(), x.relay.readyCount(x.service.Name)).Verdict == poison.Poisonous
 }
 
 // recordCrash reports to the quarantine that the server of a broken attempt crashed
@@ -93,7 +93,7 @@
 	}
 	x.crashed, x.anyCrash = true, true
 	c := poison.Crash{Server: poison.ServerHash(s.ID), Began: x.sentAt, Ended: ended}
-	x.relay.quarantine.Crashed(x.identity(), c, s.ID, x.relay.readyCount(x.service.Name))
+	x.relay.quarantine.RecordCrash(x.identity(), c, s.ID, x.relay.readyCount(x.service.Name))
 }
 
 // readyCount counts the servers of a service that may get requests.
@@ -118,8 +118,8 @@
 	q := x.relay.quarantine
 	switch {
 	case x.answered && !q.Empty():
-		q.Answered(x.identity())
+		q.RecordAnswer(x.identity())
 	case x.anyCrash:
-		q.Failed(x.identity())
+		q.RecordFailure(x.identity())
 	}
 }
