--- a/control/claims/claims.go
+++ b/control/claims/claims.go
@@ -88,7 +88,7 @@
 	c.dumpRequests = make(chan chan claim.Dump)
 	c.replyChans = map[string]chan *peerpb.ClaimReply{}
 	c.link.Handle(c.receive)
-	membership.Carry(func(g *peerpb.Gossip) { g.StoreEra = c.store.Era() })
+	membership.AddToGossip(func(g *peerpb.Gossip) { g.StoreEra = c.store.Era() })
 	membership.OnView(c.updateOwners)
 	return nil
 }
--- a/control/config/config.go
+++ b/control/config/config.go
@@ -98,7 +98,7 @@
 	c.setDefaults()
 	c.self, c.log, c.store = ctx.Self.Name, ctx.Log, p.Store()
 	c.newerPeers = make(chan string, 1)
-	c.members.Carry(func(g *peerpb.Gossip) { g.ConfigVersion = c.version.Load() })
+	c.members.AddToGossip(func(g *peerpb.Gossip) { g.ConfigVersion = c.version.Load() })
 	c.link.Handle(c.receive)
 	return nil
 }
@@ -203,7 +203,7 @@
 		f(index)
 	}
 	c.log.Info("configuration in force", zap.Uint64("version", version), zap.String("site", m.Site))
-	c.members.SpreadNow()
+	c.members.GossipNow()
 	return true
 }
 
--- a/control/follow/config.go
+++ b/control/follow/config.go
@@ -108,7 +108,7 @@
 	}
 	if c != nil && f.adopt(*c, "store", deflate(c.Raw)) {
 		f.sendConfig(f.members.Standing().FirstTargets())
-		f.members.SpreadNow()
+		f.members.GossipNow()
 	}
 	return at, nil
 }
--- a/control/follow/follow.go
+++ b/control/follow/follow.go
@@ -138,7 +138,7 @@
 	f.confirmations, f.answeredAt = watch.NewConfirmations(), map[string]time.Duration{}
 	f.inbox = ring.New[peerConfig]("catalog.inbox", inboxSize)
 	f.offers = ring.New[offer]("catalog.newer", inboxSize)
-	f.members.Carry(f.addToGossip)
+	f.members.AddToGossip(f.addToGossip)
 	f.link.Handle(f.receive)
 	return nil
 }
--- a/control/members/members.go
+++ b/control/members/members.go
@@ -154,9 +154,9 @@
 // OnView registers f to be called with every changed view. It must be called before Start.
 func (m *Members) OnView(f func(View)) { m.onView = append(m.onView, f) }
 
-// Carry registers a function that adds a module's fields to outgoing gossip. It must be
+// AddToGossip registers a function that adds a module's fields to outgoing gossip. It must be
 // called before Start; receivers read the fields from the gossip envelope.
-func (m *Members) Carry(add func(*peerpb.Gossip)) { m.gossipHooks = append(m.gossipHooks, add) }
+func (m *Members) AddToGossip(add func(*peerpb.Gossip)) { m.gossipHooks = append(m.gossipHooks, add) }
 
 // Start implements auburnmoor.Starter.
 func (m *Members) Start(ctx context.Context) error {
@@ -321,8 +321,8 @@
 	return slices.DeleteFunc(m.Peers(), func(name string) bool { return !partners[name] })
 }
 
-// SpreadNow triggers gossip without waiting for the next round.
-func (m *Members) SpreadNow() {
+// GossipNow triggers gossip without waiting for the next round.
+func (m *Members) GossipNow() {
 	select {
 	case m.gossipNow <- struct{}{}:
 	default:
@@ -351,7 +351,7 @@
 	m.leaving = true
 	m.table.SetLeaving()
 	m.mu.Unlock()
-	m.SpreadNow()
+	m.GossipNow()
 }
 
 // setContacts applies a new instance list. A nil list keeps the last one in force.
--- a/control/quarantine/quarantine.go
+++ b/control/quarantine/quarantine.go
@@ -76,7 +76,7 @@
 	q.log, q.now, q.scope, q.table = c.Log, c.Now, c.Scope, poison.NewTable()
 	q.disseminator = poison.NewDisseminator(rand.New(rand.NewPCG(c.Seed, 4)))
 	q.changed = make(chan struct{}, 1)
-	q.members.Carry(q.addDigest)
+	q.members.AddToGossip(q.addDigest)
 	q.link.Handle(q.receive)
 	return nil
 }
--- a/serve/enginepoll/enginepoll.go
+++ b/serve/enginepoll/enginepoll.go
@@ -209,7 +209,7 @@
 	}
 	p.mu.Unlock()
 	p.mem.SetEngines(out)
-	p.mem.SpreadNow()
+	p.mem.GossipNow()
 }
 
 // Dump implements auburnmoor.Dumper.
