--- a/control/loads/loads.go
+++ b/control/loads/loads.go
@@ -153,7 +153,7 @@
 	l.wake()
 }
 
-// EndDecode removes the decode load of a placed request, which FirstEvent leaves in place.
+// EndDecode removes the decode load of a placed request, which EndPrefill leaves in place.
 func (l *Loads) EndDecode(p spread.Plan) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
