--- a/control/follow/config.go
+++ b/control/follow/config.go
@@ -70,7 +70,7 @@
 		},
 		read: func(ctx context.Context, staleOK bool) (position.Position, error) {
 			c, err := f.catalog.Config(ctx, staleOK)
-			if errors.Is(err, catalog.ErrNone) {
+			if errors.Is(err, catalog.ErrNoConfig) {
 				f.log.Info("the store holds no configuration yet")
 				f.advanceConfigAt(c.At)
 				return c.At, nil
@@ -108,7 +108,7 @@
 	}
 	if c != nil && f.adopt(*c, "store", deflate(c.Raw)) {
 		f.sendConfig(f.members.Standing().FirstTargets())
-		f.members.SpreadNow()
+		f.members.GossipNow()
 	}
 	return at, nil
 }
