--- a/cli/suspects.go
+++ b/cli/suspects.go
@@ -59,16 +59,16 @@
 			sum.Add(suspects.Play(suspects.Options{
 				Instances: n, Servers: max(leastServers, int(shareOfServers*float64(n))), Seed: uint64(seed + 1), Duration: c.Duration, Rate: c.Rate,
 				Poisons: c.Poisons, PoisonEvery: c.PoisonEvery, CrashEvery: c.CrashEvery, CrashShare: c.CrashShare,
-				Loss: c.Loss, RestartEvery: c.Restarts, Together: c.Together,
+				Loss: c.Loss, RestartEvery: c.Restarts, NoIsolation: c.Together,
 			}))
 		}
 		each := float64(sum.Crashes) / float64(max(1, c.Seeds*c.Poisons))
 		perSecond := float64(c.Seeds*n) * c.Duration.Seconds()
 		most := time.Duration(0)
-		if len(sum.Known) > 0 {
-			most = slices.Max(sum.Known)
+		if len(sum.PropagationTimes) > 0 {
+			most = slices.Max(sum.PropagationTimes)
 		}
-		if _, err := fmt.Fprintf(t, "%d\t%.2f\t%d\t%v\t%d\t%d\t%d\t%d\t%.2f\t%.0f\n", n, each, sum.Late, most, sum.Ordinary, sum.Refused, sum.Suspects, sum.Broken,
+		if _, err := fmt.Fprintf(t, "%d\t%.2f\t%d\t%v\t%d\t%d\t%d\t%d\t%.2f\t%.0f\n", n, each, sum.Late, most, sum.Ordinary, sum.Refused, sum.Suspects, sum.CollateralFailures,
 			float64(sum.Messages)/perSecond, float64(sum.Bytes)/perSecond); err != nil {
 			return err
 		}
--- a/lab/suspects/gossip.go
+++ b/lab/suspects/gossip.go
@@ -98,5 +98,5 @@
 			return
 		}
 	}
-	w.res.Known = append(w.res.Known, w.now()-thirdCrash)
+	w.res.PropagationTimes = append(w.res.PropagationTimes, w.now()-thirdCrash)
 }
--- a/lab/suspects/suspects.go
+++ b/lab/suspects/suspects.go
@@ -33,8 +33,8 @@
 	Loss float64
 	// RestartEvery is the mean time between restarts of instances; zero disables them.
 	RestartEvery time.Duration
-	// Together disables isolation: suspects share servers with other requests.
-	Together bool
+	// NoIsolation disables isolation: suspects share servers with other requests.
+	NoIsolation bool
 }
 
 // Result holds the counts of a run.
@@ -45,14 +45,14 @@
 	// Crashes counts the crashes caused by poisonous requests, Late those that came more
 	// than maxPropagation after the third crash of the same request.
 	Crashes, Late int
-	// Known holds, for each request, the time from its third crash until all instances
+	// PropagationTimes holds, for each request, the time from its third crash until all instances
 	// classified it as poisonous.
-	Known []time.Duration
+	PropagationTimes []time.Duration
 	// Messages and Bytes measure the traffic between instances that crashes cause.
 	Messages, Bytes int
-	// Broken counts the other runs that failed because a poisonous request crashed their
+	// CollateralFailures counts the other runs that failed because a poisonous request crashed their
 	// server.
-	Broken int
+	CollateralFailures int
 }
 
 // Add adds the counts of another run.
@@ -62,10 +62,10 @@
 	r.Suspects += o.Suspects
 	r.Crashes += o.Crashes
 	r.Late += o.Late
-	r.Known = append(r.Known, o.Known...)
+	r.PropagationTimes = append(r.PropagationTimes, o.PropagationTimes...)
 	r.Messages += o.Messages
 	r.Bytes += o.Bytes
-	r.Broken += o.Broken
+	r.CollateralFailures += o.CollateralFailures
 }
 
 // Parameters of the model.
@@ -263,7 +263,7 @@
 		w.after(assessment.Wait, func() { w.place(x) })
 		return
 	}
-	x.isolated = assessment.Verdict == poison.Suspect && !w.o.Together
+	x.isolated = assessment.Verdict == poison.Suspect && !w.o.NoIsolation
 	x.srv = w.chooseServer(x)
 	if x.srv == nil {
 		w.after(retryDelay, func() { w.place(x) })
@@ -341,7 +341,7 @@
 	if r.crashes > 3 && w.now() > r.thirdCrash+maxPropagation {
 		w.res.Late++
 	}
-	w.res.Broken += len(x.srv.runs) - 1
+	w.res.CollateralFailures += len(x.srv.runs) - 1
 	w.stopServer(x.srv)
 }
 
--- a/lab/suspects/suspects_test.go
+++ b/lab/suspects/suspects_test.go
@@ -39,8 +39,8 @@
 var _ = Describe("a poison request", func() {
 	DescribeTable("is known to every instance of a fleet", func(n int, seeds uint64) {
 		r := runSeeds(seeds, func(seed uint64) suspects.Options { return fleetOptions(n, seed) })
-		Expect(r.Known).To(HaveLen(int(seeds)))
-		for _, d := range r.Known {
+		Expect(r.PropagationTimes).To(HaveLen(int(seeds)))
+		for _, d := range r.PropagationTimes {
 			Expect(d).To(BeNumerically("<=", maxPropagation))
 		}
 		Expect(r.Crashes).To(BeNumerically("<=", int(seeds)*(maxCrashesBefore+maxCrashesAfter)))
