--- a/lab/suspects/suspects.go
+++ b/lab/suspects/suspects.go
@@ -45,13 +45,13 @@
 	// Crashes counts the crashes caused by poisonous requests, Late those that came more
 	// than maxPropagation after the third crash of the same request.
 	Crashes, Late int
-	// PropagationTimes holds, for each request, the time from its third crash until all instances
-	// classified it as poisonous.
+	// PropagationTimes holds, for each request, the time from its third crash until all
+	// instances classified it as poisonous.
 	PropagationTimes []time.Duration
 	// Messages and Bytes measure the traffic between instances that crashes cause.
 	Messages, Bytes int
-	// CollateralFailures counts the other runs that failed because a poisonous request crashed their
-	// server.
+	// CollateralFailures counts the other runs that failed because a poisonous request
+	// crashed their server.
 	CollateralFailures int
 }
 
