--- a/decide/route/route.go
+++ b/decide/route/route.go
@@ -55,9 +55,9 @@
 	Shares []Share
 	// Timeout bounds the time that a request may wait for its answer.
 	Timeout time.Duration
-	// FirstTarget is the latency up to which the first event of a stream, or any other
+	// FirstEventTarget is the latency up to which the first event of a stream, or any other
 	// complete answer, has its full value to the caller.
-	FirstTarget time.Duration
+	FirstEventTarget time.Duration
 	// GapTarget is the longest gap between two events of a stream that does not reduce
 	// their value to the caller.
 	GapTarget time.Duration
@@ -98,25 +98,25 @@
 type Engine struct {
 	// Slots is the number of requests that an engine runs concurrently.
 	Slots int
-	// Memory is the capacity of an engine's KV cache in tokens.
-	Memory int64
+	// KVCacheTokens is the capacity of an engine's KV cache in tokens.
+	KVCacheTokens int64
 	// Step is the base duration of a decode step.
 	Step time.Duration
-	// StepPerWriter is added to a step for each decoding request.
-	StepPerWriter time.Duration
-	// StepPerThousand is added to a step per 1,000 tokens of context.
-	StepPerThousand time.Duration
-	// ReadPerSecond is the prefill speed in prompt tokens per second.
-	ReadPerSecond float64
-	// PairsPerMillion is the attention cost of prefill: the time added per million pairs
+	// StepPerSequence is added to a step for each decoding request.
+	StepPerSequence time.Duration
+	// StepPerThousandTokens is added to a step per 1,000 tokens of context.
+	StepPerThousandTokens time.Duration
+	// PrefillTokensPerSecond is the prefill speed in prompt tokens per second.
+	PrefillTokensPerSecond float64
+	// TimePerMillionPairs is the attention cost of prefill: the time added per million pairs
 	// of a token and an earlier one.
-	PairsPerMillion time.Duration
-	// Chunk is the maximum number of prompt tokens prefilled in a step.
-	Chunk int64
-	// Stride is the number of steps in a pass with decoding requests.
-	Stride int
-	// UsualAnswer is the mean number of tokens in an answer.
-	UsualAnswer int64
+	TimePerMillionPairs time.Duration
+	// PrefillChunk is the maximum number of prompt tokens prefilled in a step.
+	PrefillChunk int64
+	// StepsPerPass is the number of steps in a pass with decoding requests.
+	StepsPerPass int
+	// MeanAnswerTokens is the mean number of tokens in an answer.
+	MeanAnswerTokens int64
 }
 
 // Service is a group of interchangeable backend servers.
@@ -124,9 +124,9 @@
 	Name string
 	// Engine is nil for a plain service.
 	Engine *Engine
-	// TightestPause is the shortest GapTarget of the stream routes to the service; zero
+	// MinGapTarget is the shortest GapTarget of the stream routes to the service; zero
 	// if there are none. NewTable sets it.
-	TightestPause time.Duration
+	MinGapTarget time.Duration
 }
 
 // Customer is an organization whose requests carry one of its API keys.
@@ -196,8 +196,8 @@
 	}
 	for _, share := range r.Shares {
 		s := t.services[share.Service]
-		if s != nil && (s.TightestPause == 0 || r.GapTarget < s.TightestPause) {
-			s.TightestPause = r.GapTarget
+		if s != nil && (s.MinGapTarget == 0 || r.GapTarget < s.MinGapTarget) {
+			s.MinGapTarget = r.GapTarget
 		}
 	}
 }
