--- a/cli/serve.go
+++ b/cli/serve.go
@@ -76,7 +76,7 @@
 		case <-t.C:
 		}
 		next, err := settings.Load(f.Path)
-		if err == nil && !signalled && next.Same(last) {
+		if err == nil && !signalled && next.Equal(last) {
 			continue
 		}
 		if err == nil {
@@ -86,7 +86,7 @@
 			log.Error("new settings are not taken over", zap.Bool("signalled", signalled), eventlog.Error(err))
 			continue
 		}
-		log.Info("settings read again", zap.Bool("signalled", signalled), zap.Bool("changed", !next.Same(last)))
+		log.Info("settings read again", zap.Bool("signalled", signalled), zap.Bool("changed", !next.Equal(last)))
 		last = next
 	}
 }
@@ -146,6 +146,6 @@
 	if err != nil {
 		return usage(errors.Wrap(err, c.File))
 	}
-	fmt.Fprintf(e.out, "%s: ok: site %s, %d services, %d kinds, %d customers\n", c.File, m.Site, len(m.Services), len(m.Kinds), len(m.Customer))
+	fmt.Fprintf(e.out, "%s: ok: site %s, %d services, %d kinds, %d customers\n", c.File, m.Site, len(m.Services), len(m.Kinds), len(m.Customers))
 	return nil
 }
--- a/control/follow/follow.go
+++ b/control/follow/follow.go
@@ -113,7 +113,7 @@
 // ModuleInfo implements auburnmoor.Module.
 func (*Follower) ModuleInfo() auburnmoor.ModuleInfo {
 	return auburnmoor.ModuleInfo{
-		ID: ID, Requires: []auburnmoor.ModuleID{members.ID, peerlink.ID, catalog.Port}, OnRequest: true,
+		ID: ID, Requires: []auburnmoor.ModuleID{members.ID, peerlink.ID, catalog.Port}, OptIn: true,
 		New: func() auburnmoor.Module { return new(Follower) },
 	}
 }
--- a/control/loads/loads.go
+++ b/control/loads/loads.go
@@ -91,7 +91,7 @@
 // ModuleInfo implements auburnmoor.Module.
 func (*Loads) ModuleInfo() auburnmoor.ModuleInfo {
 	return auburnmoor.ModuleInfo{
-		ID: ID, Requires: []auburnmoor.ModuleID{members.ID, peerlink.ID, follow.ID}, OnRequest: true,
+		ID: ID, Requires: []auburnmoor.ModuleID{members.ID, peerlink.ID, follow.ID}, OptIn: true,
 		New: func() auburnmoor.Module { return new(Loads) },
 	}
 }
@@ -306,7 +306,7 @@
 	}
 	encodeWork(msg, changed)
 	encodeRejections(msg, rejected)
-	l.link.TellAll(peers, &peerpb.Envelope{Body: &peerpb.Envelope_LoadReport{LoadReport: msg}})
+	l.link.SendDatagrams(peers, &peerpb.Envelope{Body: &peerpb.Envelope_LoadReport{LoadReport: msg}})
 }
 
 // withLastChanged adds the current state of the servers in the last report if that was sent within
@@ -333,7 +333,7 @@
 	peers := l.cellPeers
 	l.mu.Unlock()
 	distant := slices.DeleteFunc(slices.Clone(l.members.Peers()), func(peer string) bool { return peers[peer] })
-	l.link.TellAll(distant, &peerpb.Envelope{Body: &peerpb.Envelope_Heartbeat{Heartbeat: &peerpb.Heartbeat{}}})
+	l.link.SendDatagrams(distant, &peerpb.Envelope{Body: &peerpb.Envelope_Heartbeat{Heartbeat: &peerpb.Heartbeat{}}})
 }
 
 func (l *Loads) receive(from string, env *peerpb.Envelope) {
--- a/control/members/members.go
+++ b/control/members/members.go
@@ -196,7 +196,7 @@
 	m.mu.Unlock()
 	for _, s := range silent {
 		for _, peer := range m.Peers() {
-			m.link.Tell(peer, &peerpb.Envelope{Body: &peerpb.Envelope_MemberSilent{MemberSilent: s}})
+			m.link.SendDatagram(peer, &peerpb.Envelope{Body: &peerpb.Envelope_MemberSilent{MemberSilent: s}})
 		}
 	}
 }
@@ -271,10 +271,10 @@
 			m.link.Send(msg.To, env)
 			continue
 		}
-		for n := len(msg.Gossip.Members); n > 0 && !m.link.Fits(env); n-- {
+		for n := len(msg.Gossip.Members); n > 0 && !m.link.FitsDatagram(env); n-- {
 			msg.Gossip.Members = msg.Gossip.Members[:n-1]
 		}
-		m.link.Tell(msg.To, env)
+		m.link.SendDatagram(msg.To, env)
 	}
 }
 
@@ -295,7 +295,7 @@
 			m.link.Send(msg.To, env)
 			continue
 		}
-		m.link.Tell(msg.To, env)
+		m.link.SendDatagram(msg.To, env)
 	}
 }
 
--- a/control/quarantine/quarantine.go
+++ b/control/quarantine/quarantine.go
@@ -60,7 +60,7 @@
 // ModuleInfo implements auburnmoor.Module.
 func (*Quarantine) ModuleInfo() auburnmoor.ModuleInfo {
 	return auburnmoor.ModuleInfo{
-		ID: ID, Requires: []auburnmoor.ModuleID{members.ID, peerlink.ID}, OnRequest: true,
+		ID: ID, Requires: []auburnmoor.ModuleID{members.ID, peerlink.ID}, OptIn: true,
 		New: func() auburnmoor.Module { return new(Quarantine) },
 	}
 }
--- a/decide/rollout/rollout.go
+++ b/decide/rollout/rollout.go
@@ -163,8 +163,8 @@
 func wantedModels(m *manifest.Manifest) []string {
 	var out []string
 	for _, s := range m.Services {
-		if s.Type == manifest.Model && !slices.Contains(out, s.Loaded()) {
-			out = append(out, s.Loaded())
+		if s.Type == manifest.Model && !slices.Contains(out, s.WeightsName()) {
+			out = append(out, s.WeightsName())
 		}
 	}
 	slices.Sort(out)
--- a/kernel.go
+++ b/kernel.go
@@ -65,7 +65,7 @@
 	Reporter  tally.CachedStatsReporter
 	Configure func(id ModuleID, m Module) error
 	// Load lists the modules to load in addition to those that they require;
-	// empty loads every registered module that is not OnRequest.
+	// empty loads every registered module that is not OptIn.
 	Load []ModuleID
 }
 
@@ -228,7 +228,7 @@
 func Select(load []ModuleID) ([]ModuleInfo, error) {
 	all := Modules()
 	if len(load) == 0 {
-		return sortByRequires(slices.DeleteFunc(all, func(i ModuleInfo) bool { return i.OnRequest }))
+		return sortByRequires(slices.DeleteFunc(all, func(i ModuleInfo) bool { return i.OptIn }))
 	}
 	byID := map[ModuleID]ModuleInfo{}
 	for _, info := range all {
--- a/lab/bench/bounds.go
+++ b/lab/bench/bounds.go
@@ -32,7 +32,7 @@
 // ParseBounds reads a bounds file.
 func ParseBounds(raw []byte) (Bounds, error) {
 	var b Bounds
-	if p := settings.Strict(raw, &b); len(p) > 0 {
+	if p := settings.UnmarshalStrict(raw, &b); len(p) > 0 {
 		return b, settings.Problems(p)
 	}
 	return b, nil
--- a/lab/passes/load.go
+++ b/lab/passes/load.go
@@ -112,7 +112,7 @@
 // ParseLoad decodes and validates a load.
 func ParseLoad(name string, raw []byte) (Load, error) {
 	var l Load
-	problems := settings.Strict(raw, &l)
+	problems := settings.UnmarshalStrict(raw, &l)
 	for _, k := range l.Kinds {
 		if len(k.Bursts) != l.Bursts {
 			problems = append(problems, "key \"kind.bursts\": "+k.Name+" needs one factor for each of the spans in \"bursts\"")
--- a/manifest/manifest.go
+++ b/manifest/manifest.go
@@ -28,7 +28,7 @@
 	Site     string     `toml:"site" validate:"required,max=64"`
 	Services []Service  `toml:"service" validate:"required,dive"`
 	Kinds    []Kind     `toml:"kind" validate:"required,dive"`
-	Customer []Customer `toml:"customer" validate:"required,dive"`
+	Customers []Customer `toml:"customer" validate:"required,dive"`
 	Limits   Limits     `toml:"limits"`
 	// Roles assigns roles to engines; an unlisted engine serves all requests.
 	Roles []Role `toml:"role" validate:"dive"`
@@ -47,8 +47,8 @@
 	MaxOutput int `toml:"max_output" validate:"min=0,max=131072"`
 }
 
-// Loaded returns the name of the service's weights as engines report it.
-func (s Service) Loaded() string {
+// WeightsName returns the name of the service's weights as engines report it.
+func (s Service) WeightsName() string {
 	name := s.ModelName + "@" + s.Version
 	if s.Adapter != "" {
 		name += "+" + s.Adapter
@@ -112,7 +112,7 @@
 // Parse decodes and checks a manifest; the error lists every problem.
 func Parse(raw []byte) (*Manifest, error) {
 	m := &Manifest{}
-	problems := settings.Strict(raw, m)
+	problems := settings.UnmarshalStrict(raw, m)
 	problems = append(problems, m.conflicts()...)
 	if len(problems) > 0 {
 		return nil, settings.Problems(problems)
@@ -152,7 +152,7 @@
 	var out []string
 	hashOwners := map[string]string{}
 	names := map[string]bool{}
-	for _, c := range m.Customer {
+	for _, c := range m.Customers {
 		if names[c.Name] {
 			out = append(out, fmt.Sprintf("customer %q is declared twice", c.Name))
 		}
@@ -190,7 +190,7 @@
 	for _, k := range m.Kinds {
 		ix.kinds[k.Name] = k
 	}
-	for _, c := range m.Customer {
+	for _, c := range m.Customers {
 		for _, h := range c.KeyHashes {
 			ix.keys[h] = c
 		}
--- a/manifest/manifest_test.go
+++ b/manifest/manifest_test.go
@@ -25,7 +25,7 @@
 			ix := manifest.NewIndex(m)
 			c, ok := ix.CustomerByKey("demo-key")
 			Expect(ok).To(BeTrue())
-			Expect(c.Name).To(Equal(m.Customer[0].Name))
+			Expect(c.Name).To(Equal(m.Customers[0].Name))
 			_, ok = ix.CustomerByKey("demo-kez")
 			Expect(ok).To(BeFalse())
 		}
--- a/module.go
+++ b/module.go
@@ -25,8 +25,8 @@
 	// Provides lists the IDs of the ports that this module implements. At most one
 	// module of a process provides a given port.
 	Provides []ModuleID
-	// OnRequest excludes the module from processes whose settings do not list it.
-	OnRequest bool
+	// OptIn excludes the module from processes whose settings do not list it.
+	OptIn bool
 	// New returns an empty instance; its exported fields are its settings.
 	New func() Module
 }
--- a/peerlink/datagram.go
+++ b/peerlink/datagram.go
@@ -57,20 +57,20 @@
 	}
 }
 
-// Fits reports whether an envelope is small enough for a datagram.
-func (l *Link) Fits(env *peerpb.Envelope) bool { return proto.Size(env)+maxAddressing <= maxDatagram }
+// FitsDatagram reports whether an envelope is small enough for a datagram.
+func (l *Link) FitsDatagram(env *peerpb.Envelope) bool { return proto.Size(env)+maxAddressing <= maxDatagram }
 
 // maxAddressing bounds the bytes that the sender's and receiver's names take in an
 // envelope.
 const maxAddressing = 200
 
-// Tell sends an envelope as a datagram if it is small, else over a connection. A lost
+// SendDatagram sends an envelope as a datagram if it is small, else over a connection. A lost
 // datagram is not retransmitted.
-func (l *Link) Tell(to string, env *peerpb.Envelope) bool { return l.TellAll([]string{to}, env) }
+func (l *Link) SendDatagram(to string, env *peerpb.Envelope) bool { return l.SendDatagrams([]string{to}, env) }
 
-// TellAll sends one envelope to several instances as Tell does and reports whether it was
+// SendDatagrams sends one envelope to several instances as SendDatagram does and reports whether it was
 // sent to all of them. The body is encoded only once.
-func (l *Link) TellAll(to []string, env *peerpb.Envelope) bool {
+func (l *Link) SendDatagrams(to []string, env *peerpb.Envelope) bool {
 	raw, err := proto.Marshal(&peerpb.Envelope{From: l.self.Name, Incarnation: l.self.Incarnation, Body: env.Body})
 	if err != nil {
 		l.log.Warn("message to other instances cannot be encoded", eventlog.Error(err))
@@ -132,7 +132,7 @@
 // instance that took over an address may receive messages to its predecessor and must not
 // act on them.
 func (l *Link) deliver(env *peerpb.Envelope, size int) {
-	if env.To != l.self.Name && env.To != AtAddr(l.self.PeerAddr) {
+	if env.To != l.self.Name && env.To != ProvisionalName(l.self.PeerAddr) {
 		l.dropped.Add(1)
 		return
 	}
--- a/peerlink/datagram_test.go
+++ b/peerlink/datagram_test.go
@@ -52,34 +52,34 @@
 	heartbeat := &peerpb.Envelope{Body: &peerpb.Envelope_Heartbeat{Heartbeat: &peerpb.Heartbeat{}}}
 
 	It("is sent without a connection", func() {
-		Expect(a.Fits(heartbeat)).To(BeTrue())
-		Expect(a.Tell("b", heartbeat)).To(BeTrue())
+		Expect(a.FitsDatagram(heartbeat)).To(BeTrue())
+		Expect(a.SendDatagram("b", heartbeat)).To(BeTrue())
 		Eventually(received.Load, "2s", "5ms").Should(Equal(int64(1)))
 		Expect(peers()).To(BeZero())
 	})
 
 	It("is dropped by an instance to which it is not addressed", func() {
-		Expect(a.Tell("c", heartbeat)).To(BeTrue())
-		Expect(a.Tell("b", heartbeat)).To(BeTrue())
+		Expect(a.SendDatagram("c", heartbeat)).To(BeTrue())
+		Expect(a.SendDatagram("b", heartbeat)).To(BeTrue())
 		Eventually(received.Load, "2s", "5ms").Should(Equal(int64(1)))
 		Expect(b.Dump().(Dump).Dropped).To(Equal(uint64(1)))
 	})
 
 	It("that is too large for a datagram uses a connection, which is closed when idle", func() {
 		big := &peerpb.Envelope{Body: &peerpb.Envelope_ConfigReply{ConfigReply: &peerpb.ConfigReply{Content: []byte(strings.Repeat("x", 5000))}}}
-		Expect(a.Fits(big)).To(BeFalse())
-		Expect(a.Tell("b", big)).To(BeTrue())
+		Expect(a.FitsDatagram(big)).To(BeFalse())
+		Expect(a.SendDatagram("b", big)).To(BeTrue())
 		Eventually(received.Load, "5s", "5ms").Should(Equal(int64(1)))
 		Expect(peers()).To(Equal(1))
 		a.sweep(time.Now().Add(idleTimeout - time.Second))
 		Expect(peers()).To(Equal(1))
 		a.sweep(time.Now().Add(idleTimeout + time.Second))
 		Expect(peers()).To(BeZero())
-		Expect(a.Tell("b", big)).To(BeTrue())
+		Expect(a.SendDatagram("b", big)).To(BeTrue())
 		Eventually(received.Load, "5s", "5ms").Should(Equal(int64(2)))
 	})
 
 	It("is not sent to an instance without a known address", func() {
-		Expect(a.Tell("nobody", heartbeat)).To(BeFalse())
+		Expect(a.SendDatagram("nobody", heartbeat)).To(BeFalse())
 	})
 })
--- a/peerlink/peerlink.go
+++ b/peerlink/peerlink.go
@@ -182,8 +182,8 @@
 	return nil
 }
 
-// AtAddr returns the provisional name of an instance known only by its peer address.
-func AtAddr(addr string) string { return "@" + addr }
+// ProvisionalName returns the provisional name of an instance known only by its peer address.
+func ProvisionalName(addr string) string { return "@" + addr }
 
 // Send queues an envelope for an instance and reports whether it was queued.
 func (l *Link) Send(to string, env *peerpb.Envelope) bool {
--- a/process/process.go
+++ b/process/process.go
@@ -40,7 +40,7 @@
 			Name: in.Name, Incarnation: uint64(time.Now().UnixMicro()), DataCentre: in.DataCentre, Region: in.Region,
 			PeerAddr: in.PeerAddr, CallerAddr: in.CallerAddr, AdminAddr: in.AdminAddr, Capacity: in.Capacity(),
 		},
-		Log: log.With(zap.String("instance", in.Name)), Scope: scope, Reporter: reporter, Configure: f.Configure, Load: f.Load(),
+		Log: log.With(zap.String("instance", in.Name)), Scope: scope, Reporter: reporter, Configure: f.Configure, Load: f.ModuleIDs(),
 	})
 	if err != nil {
 		return nil, errors.Join(err, closer.Close())
--- a/serve/api/completion.go
+++ b/serve/api/completion.go
@@ -118,7 +118,7 @@
 // readyModel returns the version of a service's model to use. During a rollout
 // that is the old version until the new one is loaded on as many engines.
 func (a *API) readyModel(svc manifest.Service) string {
-	wanted := svc.Loaded()
+	wanted := svc.WeightsName()
 	ready := map[string]int{}
 	for _, e := range a.mem.View().Engines {
 		if e.State == nil || e.Leaving {
--- a/serve/entries/entries.go
+++ b/serve/entries/entries.go
@@ -29,7 +29,7 @@
 
 // ModuleInfo implements auburnmoor.Module.
 func (*Entries) ModuleInfo() auburnmoor.ModuleInfo {
-	return auburnmoor.ModuleInfo{ID: ID, Requires: []auburnmoor.ModuleID{members.ID}, OnRequest: true, New: func() auburnmoor.Module { return new(Entries) }}
+	return auburnmoor.ModuleInfo{ID: ID, Requires: []auburnmoor.ModuleID{members.ID}, OptIn: true, New: func() auburnmoor.Module { return new(Entries) }}
 }
 
 // Provision implements auburnmoor.Provisioner.
--- a/serve/relay/relay.go
+++ b/serve/relay/relay.go
@@ -96,7 +96,7 @@
 // ModuleInfo implements auburnmoor.Module.
 func (*Relay) ModuleInfo() auburnmoor.ModuleInfo {
 	return auburnmoor.ModuleInfo{
-		ID: ID, Requires: []auburnmoor.ModuleID{follow.ID, loads.ID, members.ID, quarantine.ID, backend.Port}, OnRequest: true,
+		ID: ID, Requires: []auburnmoor.ModuleID{follow.ID, loads.ID, members.ID, quarantine.ID, backend.Port}, OptIn: true,
 		New: func() auburnmoor.Module { return new(Relay) },
 	}
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -131,11 +131,11 @@
 	return problemList(f.decode(string(id), t, m))
 }
 
-// Same reports whether two files have the same content.
-func (f *File) Same(o *File) bool { return reflect.DeepEqual(f.tables, o.tables) }
+// Equal reports whether two files have the same content.
+func (f *File) Equal(o *File) bool { return reflect.DeepEqual(f.tables, o.tables) }
 
-// Load returns the modules listed in the settings.
-func (f *File) Load() []auburnmoor.ModuleID {
+// ModuleIDs returns the modules listed in the settings.
+func (f *File) ModuleIDs() []auburnmoor.ModuleID {
 	var out []auburnmoor.ModuleID
 	for _, id := range f.Instance.Modules {
 		out = append(out, auburnmoor.ModuleID(id))
@@ -146,7 +146,7 @@
 // CheckAll checks every module's table without starting anything.
 func (f *File) CheckAll() error {
 	var all []error
-	infos, err := auburnmoor.Select(f.Load())
+	infos, err := auburnmoor.Select(f.ModuleIDs())
 	if err != nil {
 		return errors.Wrap(err, f.Path)
 	}
@@ -214,9 +214,9 @@
 	return problems
 }
 
-// Strict decodes a whole TOML document into v, rejecting unknown keys, then checks
+// UnmarshalStrict decodes a whole TOML document into v, rejecting unknown keys, then checks
 // the validate tags. It returns one line per problem.
-func Strict(raw []byte, v any) []string {
+func UnmarshalStrict(raw []byte, v any) []string {
 	var out []string
 	for _, p := range decodeStrict(raw, v) {
 		out = append(out, p.where+p.text)
