--- a/manifest/manifest.go
+++ b/manifest/manifest.go
@@ -25,11 +25,11 @@
 
 // Manifest is the whole configuration of a site.
 type Manifest struct {
-	Site     string     `toml:"site" validate:"required,max=64"`
-	Services []Service  `toml:"service" validate:"required,dive"`
-	Kinds    []Kind     `toml:"kind" validate:"required,dive"`
+	Site      string     `toml:"site" validate:"required,max=64"`
+	Services  []Service  `toml:"service" validate:"required,dive"`
+	Kinds     []Kind     `toml:"kind" validate:"required,dive"`
 	Customers []Customer `toml:"customer" validate:"required,dive"`
-	Limits   Limits     `toml:"limits"`
+	Limits    Limits     `toml:"limits"`
 	// Roles assigns roles to engines; an unlisted engine serves all requests.
 	Roles []Role `toml:"role" validate:"dive"`
 }
--- a/peerlink/datagram.go
+++ b/peerlink/datagram.go
@@ -58,7 +58,9 @@
 }
 
 // FitsDatagram reports whether an envelope is small enough for a datagram.
-func (l *Link) FitsDatagram(env *peerpb.Envelope) bool { return proto.Size(env)+maxAddressing <= maxDatagram }
+func (l *Link) FitsDatagram(env *peerpb.Envelope) bool {
+	return proto.Size(env)+maxAddressing <= maxDatagram
+}
 
 // maxAddressing bounds the bytes that the sender's and receiver's names take in an
 // envelope.
@@ -66,10 +68,12 @@
 
 // SendDatagram sends an envelope as a datagram if it is small, else over a connection. A lost
 // datagram is not retransmitted.
-func (l *Link) SendDatagram(to string, env *peerpb.Envelope) bool { return l.SendDatagrams([]string{to}, env) }
+func (l *Link) SendDatagram(to string, env *peerpb.Envelope) bool {
+	return l.SendDatagrams([]string{to}, env)
+}
 
-// SendDatagrams sends one envelope to several instances as SendDatagram does and reports whether it was
-// sent to all of them. The body is encoded only once.
+// SendDatagrams sends one envelope to several instances as SendDatagram does and reports
+// whether it was sent to all of them. The body is encoded only once.
 func (l *Link) SendDatagrams(to []string, env *peerpb.Envelope) bool {
 	raw, err := proto.Marshal(&peerpb.Envelope{From: l.self.Name, Incarnation: l.self.Incarnation, Body: env.Body})
 	if err != nil {
--- a/peerlink/peerlink.go
+++ b/peerlink/peerlink.go
@@ -182,7 +182,7 @@
 	return nil
 }
 
-// ProvisionalName returns the provisional name of an instance known only by its peer address.
+// ProvisionalName returns the name of an instance known only by its peer address.
 func ProvisionalName(addr string) string { return "@" + addr }
 
 // Send queues an envelope for an instance and reports whether it was queued.
