--- a/lab/suspects/suspects.go
+++ b/lab/suspects/suspects.go
@@ -88,10 +88,10 @@
 	// probeTime is how long it takes to probe whether a server refuses connections.
 	probeTime = 2 * time.Millisecond
 	// maxPlacements is the number of servers that one client attempt may be sent to,
-	// maxAttempts the number of attempts of a client, and retryDelay the wait before the
+	// attemptLimit the number of attempts of a client, and retryDelay the wait before the
 	// next attempt, or before the next placement when no server is eligible.
 	maxPlacements = 2
-	maxAttempts   = 2
+	attemptLimit  = 2
 	retryDelay    = 50 * time.Millisecond
 	// An encoded record takes about recordBytes, and crashBytes for each of its crashes;
 	// a server exit takes exitBytes.
@@ -246,7 +246,7 @@
 		w.after(w.o.PoisonEvery, func() { w.startAttempt(x.req) })
 	case refused:
 		w.res.Refused++
-	case x.req.attemptCount < maxAttempts:
+	case x.req.attemptCount < attemptLimit:
 		w.after(retryDelay, func() { w.startAttempt(x.req) })
 	}
 }
