--- a/lab/load/client.go
+++ b/lab/load/client.go
@@ -18,12 +18,12 @@
 	"github.com/auburnmoor/auburnmoor/port/engine"
 )
 
-// answered is what came back for one request.
-type answered struct {
+// callResult is the outcome of one request; err is empty if it succeeded.
+type callResult struct {
 	first, total time.Duration
-	right        bool
+	correct      bool
 	err          string
-	run          string
+	body         string // only of a plain service
 }
 
 type client struct {
@@ -38,8 +38,8 @@
 	return &client{o: o, http: &http.Client{Transport: t}, engine: engine.NewClient(time.Second)}
 }
 
-// entry spreads the requests over the entry instances.
-func (c *client) entry() string {
+// nextEntry returns the address of an entry instance, round robin.
+func (c *client) nextEntry() string {
 	return c.o.Entries[c.next.Add(1)%uint64(len(c.o.Entries))]
 }
 
@@ -50,21 +50,21 @@
 	Stream    bool   `json:"stream"`
 }
 
-func (c *client) complete(ctx context.Context, r request) answered {
+func (c *client) complete(ctx context.Context, r request) callResult {
 	body, err := json.Marshal(completionBody{Model: c.o.Model, Prompt: r.prompt, MaxTokens: c.o.Output, Stream: c.o.Stream})
 	if err != nil {
-		return answered{err: err.Error()}
+		return callResult{err: err.Error()}
 	}
 	began := time.Now()
 	resp, err := c.post(ctx, "/v1/completions", body, nil)
 	if err != nil {
-		return answered{err: "transport"}
+		return callResult{err: "transport"}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return answered{err: errorName(resp.Body)}
+		return callResult{err: errorName(resp.Body)}
 	}
-	var a answered
+	var a callResult
 	var text string
 	if c.o.Stream {
 		text, a = readStream(resp.Body, began)
@@ -72,12 +72,12 @@
 		text, a = readWhole(resp.Body, began)
 	}
 	a.total = time.Since(began)
-	a.right = text == answer.Whole(r.prompt, c.o.Output)
+	a.correct = text == answer.Whole(r.prompt, c.o.Output)
 	return a
 }
 
 func (c *client) post(ctx context.Context, path string, body []byte, h http.Header) (*http.Response, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.entry()+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.nextEntry()+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
@@ -109,19 +109,19 @@
 	return c.Error.Name
 }
 
-func readWhole(body io.Reader, began time.Time) (string, answered) {
+func readWhole(body io.Reader, began time.Time) (string, callResult) {
 	var c chunk
 	if err := json.NewDecoder(body).Decode(&c); err != nil || len(c.Choices) == 0 {
-		return "", answered{err: "unreadable answer"}
+		return "", callResult{err: "unreadable answer"}
 	}
-	return c.Choices[0].Text, answered{first: time.Since(began)}
+	return c.Choices[0].Text, callResult{first: time.Since(began)}
 }
 
-// readStream reads server-sent events until [DONE]; an end without it is a
-// missing answer.
-func readStream(body io.Reader, began time.Time) (string, answered) {
+// readStream reads server-sent events until [DONE]; a stream that ends without
+// it counts as an error.
+func readStream(body io.Reader, began time.Time) (string, callResult) {
 	var text strings.Builder
-	var a answered
+	var a callResult
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
@@ -134,10 +134,10 @@
 		}
 		var c chunk
 		if err := json.Unmarshal([]byte(data), &c); err != nil {
-			return "", answered{err: "unreadable chunk"}
+			return "", callResult{err: "unreadable chunk"}
 		}
 		if c.Error != nil {
-			return "", answered{err: c.Error.Name}
+			return "", callResult{err: c.Error.Name}
 		}
 		if a.first == 0 {
 			a.first = time.Since(began)
@@ -146,12 +146,12 @@
 			text.WriteString(c.Choices[0].Text)
 		}
 	}
-	return text.String(), answered{err: "answer cut off"}
+	return text.String(), callResult{err: "answer cut off"}
 }
 
-// direct sends the request straight to an engine.
-func (c *client) direct(ctx context.Context, r request) answered {
-	var a answered
+// completeDirect sends the request to an engine without going through an entry.
+func (c *client) completeDirect(ctx context.Context, r request) callResult {
+	var a callResult
 	var text strings.Builder
 	began := time.Now()
 	s := engine.Stream{ID: fmt.Sprintf("load-%d-%d", c.o.Seed, r.n), Attempt: 1, Model: c.o.DirectModel, MaxTokens: c.o.Output}
@@ -163,15 +163,16 @@
 		return nil
 	})
 	if err != nil {
-		return answered{err: "engine: " + errors.UnwrapAll(err).Error()}
+		return callResult{err: "engine: " + errors.UnwrapAll(err).Error()}
 	}
 	a.total = time.Since(began)
-	a.right = text.String() == answer.Whole(r.prompt, c.o.Output)
+	a.correct = text.String() == answer.Whole(r.prompt, c.o.Output)
 	return a
 }
 
-// callService calls a plain service.
-func (c *client) callService(ctx context.Context, r request) answered {
+// callService calls a plain service and checks that the response names the
+// request's idempotency key.
+func (c *client) callService(ctx context.Context, r request) callResult {
 	h := http.Header{}
 	if r.key != "" {
 		h.Set("Idempotency-Key", r.key)
@@ -179,16 +180,16 @@
 	began := time.Now()
 	resp, err := c.post(ctx, "/v1/services/"+c.o.Service+"/run", []byte("{}"), h)
 	if err != nil {
-		return answered{err: "transport"}
+		return callResult{err: "transport"}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return answered{err: errorName(resp.Body)}
+		return callResult{err: errorName(resp.Body)}
 	}
 	raw, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return answered{err: "answer cut off"}
+		return callResult{err: "answer cut off"}
 	}
 	took := time.Since(began)
-	return answered{first: took, total: took, right: bytes.Contains(raw, []byte(`"key":"`+r.key+`"`)), run: string(raw)}
+	return callResult{first: took, total: took, correct: bytes.Contains(raw, []byte(`"key":"`+r.key+`"`)), body: string(raw)}
 }
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -1,5 +1,5 @@
-// Package load sends a mix of requests to real addresses and checks every
-// answer. It is bounded in count, time and requests in flight.
+// Package load generates load against running instances and checks every
+// response. Request count, duration and concurrency are bounded.
 package load
 
 import (
@@ -14,24 +14,24 @@
 	"golang.org/x/time/rate"
 )
 
-// Options describe a run.
+// Options configure a run.
 type Options struct {
-	// Entries are the callers' addresses of entry instances to ask.
+	// Entries are the caller-facing addresses of the entry instances.
 	Entries []string
-	// Direct is the address of an engine that gets the same requests straight,
-	// side by side; empty for none.
+	// Direct is the address of an engine that receives every second request
+	// without an entry in between, for comparison; empty for none.
 	Direct string
-	// DirectModel is the loaded version to name there.
+	// DirectModel is the loaded model version to request from Direct.
 	DirectModel string
 	Key         string
 	Model       string
 	Kind        string
-	// Rate is in requests a second, Count and Duration bound the run.
+	// Rate is in requests per second; Count and Duration bound the run.
 	Rate     float64
 	Count    int
 	Duration time.Duration
-	// MinTokens and MaxTokens bound the prompts, drawn log-uniformly; one in
-	// LongEvery is drawn between 100k and LongTokens.
+	// MinTokens and MaxTokens bound the prompt lengths, drawn log-uniformly;
+	// one in LongEvery is drawn between 100k and LongTokens instead.
 	MinTokens, MaxTokens int
 	LongEvery            int
 	LongTokens           int
@@ -39,33 +39,34 @@
 	Stream               bool
 	// Service is a plain service to call instead of a model.
 	Service string
-	// Repeat sends each call with an Idempotency-Key this often.
+	// Repeat is how many times each service call is sent with the same
+	// Idempotency-Key.
 	Repeat int
-	// InFlight bounds the requests at once; arrivals beyond it are counted as
-	// not sent.
+	// InFlight bounds the concurrent requests; arrivals beyond it are counted
+	// as not sent.
 	InFlight int
 	Seed     uint64
 }
 
-// Target is where requests go.
+// Target names the receiver of a request.
 type Target string
 
-// The targets of a side-by-side run.
+// Targets of a comparison run.
 const (
 	ThroughEntry Target = "entry"
 	StraightOn   Target = "direct"
 )
 
-// class is a group of prompt lengths.
-type class struct {
+// lengthClass is a range of prompt lengths with an upper bound in tokens.
+type lengthClass struct {
 	Name string
 	Max  int
 }
 
-var classes = []class{{"<=8k", 8_000}, {"<=32k", 32_000}, {"<=100k", 100_000}, {"<=480k", 480_000}, {">480k", math.MaxInt}}
+var lengthClasses = []lengthClass{{"<=8k", 8_000}, {"<=32k", 32_000}, {"<=100k", 100_000}, {"<=480k", 480_000}, {">480k", math.MaxInt}}
 
-func classOf(tokens int) string {
-	for _, c := range classes {
+func lengthClassOf(tokens int) string {
+	for _, c := range lengthClasses {
 		if tokens <= c.Max {
 			return c.Name
 		}
@@ -80,13 +81,14 @@
 	histDigits = 3
 )
 
-// Result is what one target showed.
+// Result holds the counts and latencies of one target.
 type Result struct {
 	Sent     int
 	Answered int
-	// Wrong counts answers that are not the caller's own or not whole.
+	// Wrong counts complete responses with unexpected content.
 	Wrong int
-	// Doubled counts keys that ran more than once.
+	// Doubled counts responses that show a further execution of the same
+	// idempotency key.
 	Doubled int
 	Errors  map[string]int
 	First   map[string]*hdrhistogram.Histogram
@@ -101,12 +103,13 @@
 type Report struct {
 	Options Options
 	Took    time.Duration
-	// NotSent counts arrivals beyond the bound of requests in flight.
+	// NotSent counts arrivals dropped because InFlight was reached.
 	NotSent int
 	Results map[Target]*Result
 }
 
-// Failed reports whether an answer was wrong, missing or doubled.
+// Failed reports whether a response was wrong or a key was executed more than
+// once; errors do not count.
 func (r *Report) Failed() bool {
 	for _, x := range r.Results {
 		if x.Wrong > 0 || x.Doubled > 0 {
@@ -121,12 +124,12 @@
 	client *client
 	mu     sync.Mutex
 	report *Report
-	runs   map[string]string
+	bodies map[string]string // last response body by idempotency key
 }
 
-// Run sends the load and waits for every answer.
+// Run sends the load and waits for every response.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	r := &runner{o: o, client: newClient(o), runs: map[string]string{}, report: &Report{Options: o, Results: map[Target]*Result{ThroughEntry: newResult()}}}
+	r := &runner{o: o, client: newClient(o), bodies: map[string]string{}, report: &Report{Options: o, Results: map[Target]*Result{ThroughEntry: newResult()}}}
 	if o.Direct != "" {
 		r.report.Results[StraightOn] = newResult()
 	}
@@ -157,14 +160,14 @@
 		}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			r.one(ctx, job)
+			r.execute(ctx, job)
 		})
 	}
 	wg.Wait()
 	return ctx.Err()
 }
 
-// request is one drawn request.
+// request is one randomly drawn request.
 type request struct {
 	n      int
 	target Target
@@ -209,23 +212,23 @@
 	return string(b)
 }
 
-func (r *runner) one(ctx context.Context, req request) {
+func (r *runner) execute(ctx context.Context, req request) {
 	if r.o.Service != "" {
-		r.call(ctx, req)
+		r.callRepeatedly(ctx, req)
 		return
 	}
-	var a answered
+	var a callResult
 	if req.target == StraightOn {
-		a = r.client.direct(ctx, req)
+		a = r.client.completeDirect(ctx, req)
 	} else {
 		a = r.client.complete(ctx, req)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.note(req, a)
+	r.record(req, a)
 }
 
-func (r *runner) note(req request, a answered) {
+func (r *runner) record(req request, a callResult) {
 	res := r.report.Results[req.target]
 	res.Sent++
 	if a.err != "" {
@@ -233,10 +236,10 @@
 		return
 	}
 	res.Answered++
-	if !a.right {
+	if !a.correct {
 		res.Wrong++
 	}
-	c := classOf(req.tokens)
+	c := lengthClassOf(req.tokens)
 	if res.First[c] == nil {
 		res.First[c] = hdrhistogram.New(histMin, histMax, histDigits)
 	}
@@ -244,17 +247,18 @@
 	_ = res.Total.RecordValue(a.total.Microseconds())
 }
 
-// call sends one key several times and compares the runs that answered.
-func (r *runner) call(ctx context.Context, req request) {
+// callRepeatedly sends the same idempotency key several times; successful
+// responses that differ are counted as doubled executions.
+func (r *runner) callRepeatedly(ctx context.Context, req request) {
 	for range max(1, r.o.Repeat) {
 		a := r.client.callService(ctx, req)
 		r.mu.Lock()
-		r.note(req, a)
+		r.record(req, a)
 		if a.err == "" && req.key != "" {
-			if other, ok := r.runs[req.key]; ok && other != a.run {
+			if other, ok := r.bodies[req.key]; ok && other != a.body {
 				r.report.Results[ThroughEntry].Doubled++
 			}
-			r.runs[req.key] = a.run
+			r.bodies[req.key] = a.body
 		}
 		r.mu.Unlock()
 	}
--- a/lab/load/plot.go
+++ b/lab/load/plot.go
@@ -7,15 +7,15 @@
 	"github.com/auburnmoor/auburnmoor/lab/plots"
 )
 
-// quantiles are the points of a plot.
+// quantiles are the plotted percentiles.
 var quantiles = []float64{5, 10, 25, 50, 75, 90, 95, 99, 99.9}
 
-// Plot draws the time to first token over its quantiles, a line for each
-// target and prompt length.
+// Plot draws the quantiles of the time to first token, with one line per target
+// and prompt length class.
 func (r *Report) Plot(path string) error {
 	var series []plots.Series
 	for _, t := range slices.Sorted(maps.Keys(r.Results)) {
-		for _, c := range classes {
+		for _, c := range lengthClasses {
 			h := r.Results[t].First[c.Name]
 			if h == nil {
 				continue
--- a/lab/load/report.go
+++ b/lab/load/report.go
@@ -11,7 +11,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Line is one row of the report; times are in milliseconds.
+// Line is one row of latencies in the report, in milliseconds.
 type Line struct {
 	Target string  `json:"target"`
 	Prompt string  `json:"prompt_tokens"`
@@ -22,7 +22,7 @@
 	MaxMS  float64 `json:"max_ms"`
 }
 
-// Totals counts what one target showed.
+// Totals holds the request counts of one target.
 type Totals struct {
 	Target   string         `json:"target"`
 	Sent     int            `json:"sent"`
@@ -32,7 +32,7 @@
 	Errors   map[string]int `json:"errors"`
 }
 
-// Summary is the report in JSON.
+// Summary is the report in its JSON form.
 type Summary struct {
 	Seconds   float64  `json:"seconds"`
 	PerSecond float64  `json:"answered_per_second"`
@@ -42,13 +42,13 @@
 	Total     []Line   `json:"total_time"`
 }
 
-func lineOf(target, prompt string, h *hdrhistogram.Histogram) Line {
+func newLine(target, prompt string, h *hdrhistogram.Histogram) Line {
 	ms := func(us int64) float64 { return float64(us) / 1000 }
 	return Line{Target: target, Prompt: prompt, Count: h.TotalCount(), P50MS: ms(h.ValueAtQuantile(50)),
 		P95MS: ms(h.ValueAtQuantile(95)), P99MS: ms(h.ValueAtQuantile(99)), MaxMS: ms(h.Max())}
 }
 
-// Summary condenses the report.
+// Summary computes rates and percentiles from the report.
 func (r *Report) Summary() Summary {
 	s := Summary{Seconds: r.Took.Seconds(), NotSent: r.NotSent}
 	answered := 0
@@ -56,25 +56,25 @@
 		x := r.Results[t]
 		answered += x.Answered
 		s.Totals = append(s.Totals, Totals{Target: string(t), Sent: x.Sent, Answered: x.Answered, Wrong: x.Wrong, Doubled: x.Doubled, Errors: x.Errors})
-		for _, c := range classes {
+		for _, c := range lengthClasses {
 			if h := x.First[c.Name]; h != nil {
-				s.First = append(s.First, lineOf(string(t), c.Name, h))
+				s.First = append(s.First, newLine(string(t), c.Name, h))
 			}
 		}
-		s.Total = append(s.Total, lineOf(string(t), "all", x.Total))
+		s.Total = append(s.Total, newLine(string(t), "all", x.Total))
 	}
 	s.PerSecond = float64(answered) / r.Took.Seconds()
 	return s
 }
 
-// WriteJSON prints the summary in JSON.
+// WriteJSON writes the summary as JSON.
 func (r *Report) WriteJSON(w io.Writer) error {
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
 	return enc.Encode(r.Summary())
 }
 
-// WriteTable prints the summary as a table.
+// WriteTable writes the summary as a table.
 func (r *Report) WriteTable(out io.Writer) error {
 	s := r.Summary()
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
