--- a/lab/plots/plots.go
+++ b/lab/plots/plots.go
@@ -1,5 +1,5 @@
-// Package plots draws the reports of the load and experiment tools as PNG
-// files.
+// Package plots renders the reports of the load generator and the experiments
+// as PNG files.
 package plots
 
 import (
@@ -10,19 +10,19 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Series is one named line of points.
+// Series is a named sequence of points or bar heights; bars use only Y.
 type Series struct {
 	Name string
 	X, Y []float64
 }
 
-// Size of a plot.
+// Size of a rendered plot.
 const (
 	width  = 18 * vg.Centimeter
 	height = 11 * vg.Centimeter
 )
 
-// Lines draws series into a PNG file with a logarithmic vertical axis.
+// Lines writes a line plot of series with a logarithmic y axis to a PNG file.
 func Lines(path, title, x, y string, series []Series) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
@@ -30,12 +30,12 @@
 	p.Legend.Top, p.Legend.Left = true, true
 	var args []any
 	for _, s := range series {
-		pts := make(plotter.XYs, 0, len(s.X))
+		points := make(plotter.XYs, 0, len(s.X))
 		for i := range s.X {
-			// A logarithmic axis has no place for zero.
-			pts = append(pts, plotter.XY{X: s.X[i], Y: max(s.Y[i], 0.001)})
+			// A logarithmic axis cannot show zero.
+			points = append(points, plotter.XY{X: s.X[i], Y: max(s.Y[i], 0.001)})
 		}
-		args = append(args, s.Name, pts)
+		args = append(args, s.Name, points)
 	}
 	if err := plotutil.AddLinePoints(p, args...); err != nil {
 		return errors.Wrap(err, "plot")
@@ -43,7 +43,8 @@
 	return errors.Wrap(p.Save(width, height, path), "plot")
 }
 
-// Bars draws groups of bars, one bar of a group for each series.
+// Bars writes a grouped bar chart to a PNG file; each group has one bar per
+// series.
 func Bars(path, title, y string, groups []string, series []Series) error {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = title, y
