--- a/lab/dev/dev.go
+++ b/lab/dev/dev.go
@@ -1,5 +1,5 @@
-// Package dev runs a whole small site in one process: stand-ins for the
-// platform, engines and plain services, and three entry instances.
+// Package dev runs a small site in one process: entry instances and emulators
+// of the platform, the engines and the plain services.
 package dev
 
 import (
@@ -23,27 +23,27 @@
 	"github.com/auburnmoor/auburnmoor/settings"
 )
 
-// Options size the site.
+// Options configure the site.
 type Options struct {
-	// Host is the IP number that everything listens on.
+	// Host is the IP address that all servers listen on.
 	Host string
-	// BasePort is the port of the platform; the others follow from it.
+	// BasePort is the port of the platform; the other ports are offsets from it.
 	BasePort int
-	// Entries and Engines are the numbers of instances and engines.
+	// Entries and Engines are the numbers of entry instances and engines.
 	Entries int
 	Engines int
-	// StepFactor scales the assumed step times of the engines.
+	// StepFactor scales the assumed step times of the emulated engines.
 	StepFactor float64
-	// ListLag is how late the instance list shows a change.
+	// ListLag is the delay until a change appears in the instance list.
 	ListLag time.Duration
-	// Manifest is the configuration to accept first.
+	// Manifest is the initial configuration.
 	Manifest []byte
 	// KeepEntries shortens a graceful shutdown in tests.
 	KeepEntries time.Duration
 	Log         *zap.Logger
 }
 
-// DefaultOptions returns the site that "auburnmoor dev" runs.
+// DefaultOptions returns the options of "auburnmoor dev".
 func DefaultOptions() Options {
 	return Options{
 		Host: "127.0.0.1", BasePort: 7001, Entries: 3, Engines: 6, StepFactor: 0.25,
@@ -51,7 +51,7 @@
 	}
 }
 
-// Offsets of the ports from BasePort.
+// Port offsets from BasePort: the first port of each kind of server.
 const (
 	enginePorts  = 10
 	servicePorts = 50
@@ -73,14 +73,14 @@
 	index    *manifest.Index
 }
 
-// Start brings a site up; on a failure everything is stopped again.
+// Start starts a site; if a step fails, everything already running is stopped.
 func Start(ctx context.Context, o Options) (*Site, error) {
 	m, err := manifest.Parse(o.Manifest)
 	if err != nil {
 		return nil, err
 	}
 	s := &Site{opts: o, Runs: map[string]*serviceserver.Counter{}, index: manifest.NewIndex(m)}
-	for _, step := range []func(context.Context) error{s.startPlatform, s.startEngines, s.startServices, s.accept, s.startEntries} {
+	for _, step := range []func(context.Context) error{s.startPlatform, s.startEngines, s.startServices, s.acceptConfig, s.startEntries} {
 		if err := step(ctx); err != nil {
 			s.Close()
 			return nil, err
@@ -89,15 +89,15 @@
 	return s, nil
 }
 
-// Addr returns the address at an offset from the base port.
+// Addr returns the address at a port offset from BasePort.
 func (s *Site) Addr(offset int) string {
 	return fmt.Sprintf("%s:%d", s.opts.Host, s.opts.BasePort+offset)
 }
 
-// CallerAddr returns the callers' address of entry i.
+// CallerAddr returns the caller-facing address of entry i.
 func (s *Site) CallerAddr(i int) string { return s.Addr(callerPorts + i) }
 
-// AdminAddr returns the operators' address of entry i.
+// AdminAddr returns the admin address of entry i.
 func (s *Site) AdminAddr(i int) string { return s.Addr(adminPorts + i) }
 
 func (s *Site) startPlatform(context.Context) error {
@@ -142,7 +142,7 @@
 	return nil
 }
 
-func (s *Site) accept(ctx context.Context) error {
+func (s *Site) acceptConfig(ctx context.Context) error {
 	store := objectapi.NewClient(s.Platform.Addr())
 	_, err := confver.Accept(ctx, store, s.opts.Manifest, 0, "dev")
 	return err
@@ -203,7 +203,8 @@
 		s.Platform.Addr(), s.Platform.Addr(), s.opts.KeepEntries)
 }
 
-// Ready waits until every entry knows the configuration and every engine.
+// Ready waits until every entry has a configuration and the state of every
+// engine.
 func (s *Site) Ready(ctx context.Context) error {
 	for {
 		ready := true
@@ -221,22 +222,22 @@
 	}
 }
 
-// Stop drains the entries, then stops the stand-ins.
+// Stop drains the entries, then stops the emulators.
 func (s *Site) Stop(ctx context.Context) error {
 	errs := make(chan error, len(s.Entries))
 	for _, p := range s.Entries {
 		go func() { errs <- p.Stop(ctx) }()
 	}
-	var problems []error
+	var stopErrors []error
 	for range s.Entries {
-		problems = append(problems, <-errs)
+		stopErrors = append(stopErrors, <-errs)
 	}
 	s.Entries = nil
 	s.Close()
-	return errors.Join(problems...)
+	return errors.Join(stopErrors...)
 }
 
-// Close stops everything at once.
+// Close stops everything without draining.
 func (s *Site) Close() {
 	for _, p := range s.Entries {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -254,7 +255,8 @@
 	}
 }
 
-// CheckPorts reports the first address of the site that is taken.
+// CheckPorts returns an error for the first address already in use; the ports
+// of the plain services are not checked.
 func CheckPorts(o Options) error {
 	s := Site{opts: o}
 	offsets := []int{0}
@@ -264,10 +266,10 @@
 	for i := range o.Entries {
 		offsets = append(offsets, callerPorts+i, peerPorts+i, adminPorts+i)
 	}
-	for _, off := range offsets {
-		lis, err := net.Listen("tcp", s.Addr(off))
+	for _, offset := range offsets {
+		lis, err := net.Listen("tcp", s.Addr(offset))
 		if err != nil {
-			return errors.Wrapf(err, "address %s is taken", s.Addr(off))
+			return errors.Wrapf(err, "address %s is not available", s.Addr(offset))
 		}
 		_ = lis.Close()
 	}
--- a/lab/dev/examples.go
+++ b/lab/dev/examples.go
@@ -9,7 +9,7 @@
 // DemoKey is the bearer key of the first customer in the example manifests.
 const DemoKey = "demo-key"
 
-// Examples returns shell lines that try the site.
+// Examples returns curl commands that call the site.
 func (s *Site) Examples() []string {
 	entry := s.CallerAddr(0)
 	auth := fmt.Sprintf("-H 'Authorization: Bearer %s'", DemoKey)
--- a/lab/dev/ready.go
+++ b/lab/dev/ready.go
@@ -6,8 +6,8 @@
 	"github.com/auburnmoor/auburnmoor/process"
 )
 
-// isReady reports whether an instance has a configuration and knows what every
-// engine serves.
+// isReady reports whether an instance has a configuration and knows the models
+// of at least the given number of engines.
 func isReady(p *process.Process, engines int) bool {
 	conf, ok := p.Module(config.ID).(*config.Config)
 	if !ok || conf.Version() == 0 {
