--- a/lab/bench/baseline.go
+++ b/lab/bench/baseline.go
@@ -9,22 +9,22 @@
 	"github.com/auburnmoor/auburnmoor/result"
 )
 
-// baseline is a machine in which every entry places requests by itself and the
-// engines run them in order of arrival. It has no admission, no retry and no
-// gang.
+// baseline is a machine that places requests without coordination between the
+// entries, on engines that run them in order of arrival. It has no admission
+// control, retries or gangs.
 type baseline struct {
-	pick    func(b *baseline, fits []dispatch.EngineInfo) dispatch.EngineInfo
-	rand    *rand.Rand
-	engines []dispatch.EngineInfo
-	load    map[string]int
-	next    int
-	open    map[string]*baseRequest
-	order   []*baseRequest
-	queued  map[string]int
-	out     []dispatch.Action
+	pick         func(b *baseline, candidates []dispatch.EngineInfo) dispatch.EngineInfo
+	rand         *rand.Rand
+	engines      []dispatch.EngineInfo
+	outstanding  map[string]int
+	nextEngine   int
+	active       map[string]*baselineRequest
+	byArrival    []*baselineRequest
+	reportedLoad map[string]int
+	actions      []dispatch.Action
 }
 
-type baseRequest struct {
+type baselineRequest struct {
 	id       string
 	engine   string
 	deadline time.Duration
@@ -33,97 +33,98 @@
 func newBaseline(pick func(*baseline, []dispatch.EngineInfo) dispatch.EngineInfo) func(string, uint64) dispatch.Machine {
 	return func(_ string, seed uint64) dispatch.Machine {
 		return &baseline{
-			pick: pick, rand: rand.New(rand.NewPCG(seed, 7)), load: map[string]int{},
-			open: map[string]*baseRequest{}, queued: map[string]int{}, next: int(seed),
+			pick: pick, rand: rand.New(rand.NewPCG(seed, 7)), outstanding: map[string]int{},
+			active: map[string]*baselineRequest{}, reportedLoad: map[string]int{}, nextEngine: int(seed),
 		}
 	}
 }
 
 // Step implements dispatch.Machine.
 func (b *baseline) Step(now time.Duration, ev dispatch.Event) []dispatch.Action {
-	b.out = b.out[:0]
+	b.actions = b.actions[:0]
 	switch ev := ev.(type) {
 	case dispatch.Directory:
 		b.engines = ev.Engines
 	case dispatch.EngineReport:
-		b.queued[ev.Report.Engine] = ev.Report.Queued + ev.Report.Running
+		b.reportedLoad[ev.Report.Engine] = ev.Report.Queued + ev.Report.Running
 	case dispatch.Arrive:
-		b.arrive(now, ev.Job)
+		b.handleArrival(now, ev.Job)
 	case dispatch.StreamEnd:
-		b.ended(now, ev)
+		b.handleStreamEnd(now, ev)
 	case dispatch.Tick:
 		b.expire(now)
 	}
-	return b.out
+	return b.actions
 }
 
-func (b *baseline) arrive(now time.Duration, j *peerpb.Job) {
-	var fits []dispatch.EngineInfo
+func (b *baseline) handleArrival(now time.Duration, j *peerpb.Job) {
+	var candidates []dispatch.EngineInfo
 	for _, e := range b.engines {
 		if e.KVTotal >= j.PromptTokens+j.MaxTokens {
-			fits = append(fits, e)
+			candidates = append(candidates, e)
 		}
 	}
-	if len(fits) == 0 {
-		b.out = append(b.out, dispatch.Finish{ID: j.Id, Err: result.New(result.TooLongForFleet, "no engine is large enough")})
+	if len(candidates) == 0 {
+		b.actions = append(b.actions, dispatch.Finish{ID: j.Id, Err: result.New(result.TooLongForFleet, "no engine is large enough")})
 		return
 	}
-	e := b.pick(b, fits)
-	r := &baseRequest{id: j.Id, engine: e.Name, deadline: now + time.Duration(j.RemainingUs)*time.Microsecond}
-	b.open[j.Id] = r
-	b.order = append(b.order, r)
-	b.load[e.Name]++
-	b.out = append(b.out, dispatch.Start{Request: j.Id, ID: j.Id, Attempt: 1, Engine: e.Name, Priority: now.Microseconds()})
+	e := b.pick(b, candidates)
+	r := &baselineRequest{id: j.Id, engine: e.Name, deadline: now + time.Duration(j.RemainingUs)*time.Microsecond}
+	b.active[j.Id] = r
+	b.byArrival = append(b.byArrival, r)
+	b.outstanding[e.Name]++
+	b.actions = append(b.actions, dispatch.Start{Request: j.Id, ID: j.Id, Attempt: 1, Engine: e.Name, Priority: now.Microseconds()})
 }
 
-func (b *baseline) ended(_ time.Duration, ev dispatch.StreamEnd) {
-	r := b.open[ev.ID]
+func (b *baseline) handleStreamEnd(_ time.Duration, ev dispatch.StreamEnd) {
+	r := b.active[ev.ID]
 	if r == nil {
 		return
 	}
-	delete(b.open, ev.ID)
-	b.load[r.engine]--
+	delete(b.active, ev.ID)
+	b.outstanding[r.engine]--
 	if ev.Fault != dispatch.NoFault {
-		b.out = append(b.out, dispatch.Finish{ID: ev.ID, Err: result.New(result.BackendFailed, "the engine failed")})
+		b.actions = append(b.actions, dispatch.Finish{ID: ev.ID, Err: result.New(result.BackendFailed, "the engine failed")})
 	}
 }
 
 func (b *baseline) expire(now time.Duration) {
-	kept := b.order[:0]
-	for _, r := range b.order {
+	kept := b.byArrival[:0]
+	for _, r := range b.byArrival {
 		switch {
-		case b.open[r.id] != r:
+		case b.active[r.id] != r:
 		case now < r.deadline:
 			kept = append(kept, r)
 		default:
-			delete(b.open, r.id)
-			b.load[r.engine]--
-			b.out = append(b.out, dispatch.Cancel{Engine: r.engine, Stream: dispatch.StreamID(r.id, 1)},
+			delete(b.active, r.id)
+			b.outstanding[r.engine]--
+			b.actions = append(b.actions, dispatch.Cancel{Engine: r.engine, Stream: dispatch.StreamID(r.id, 1)},
 				dispatch.Finish{ID: r.id, Err: result.New(result.DeadlinePassed, "the time limit passed")})
 		}
 	}
-	b.order = kept
+	b.byArrival = kept
 }
 
-func pickRoundRobin(b *baseline, fits []dispatch.EngineInfo) dispatch.EngineInfo {
-	b.next++
-	return fits[b.next%len(fits)]
+func pickRoundRobin(b *baseline, candidates []dispatch.EngineInfo) dispatch.EngineInfo {
+	b.nextEngine++
+	return candidates[b.nextEngine%len(candidates)]
 }
 
-func pickLeastOutstanding(b *baseline, fits []dispatch.EngineInfo) dispatch.EngineInfo {
-	best := fits[b.rand.IntN(len(fits))]
-	for _, e := range fits {
-		if b.load[e.Name] < b.load[best.Name] {
+func pickLeastOutstanding(b *baseline, candidates []dispatch.EngineInfo) dispatch.EngineInfo {
+	best := candidates[b.rand.IntN(len(candidates))]
+	for _, e := range candidates {
+		if b.outstanding[e.Name] < b.outstanding[best.Name] {
 			best = e
 		}
 	}
 	return best
 }
 
-// pickTwoReports is power of two choices on lagging load reports.
-func pickTwoReports(b *baseline, fits []dispatch.EngineInfo) dispatch.EngineInfo {
-	x, y := fits[b.rand.IntN(len(fits))], fits[b.rand.IntN(len(fits))]
-	if b.queued[y.Name] < b.queued[x.Name] {
+// pickPowerOfTwo picks the less loaded of two random engines by lagging load
+// reports.
+func pickPowerOfTwo(b *baseline, candidates []dispatch.EngineInfo) dispatch.EngineInfo {
+	x, y := candidates[b.rand.IntN(len(candidates))], candidates[b.rand.IntN(len(candidates))]
+	if b.reportedLoad[y.Name] < b.reportedLoad[x.Name] {
 		return y
 	}
 	return x
--- a/lab/bench/bench_test.go
+++ b/lab/bench/bench_test.go
@@ -20,7 +20,7 @@
 
 func TestBench(t *testing.T) { testkit.Suite(t, "bench") }
 
-func product() bench.Policy {
+func productPolicy() bench.Policy {
 	p, ok := bench.LookupPolicy(bench.Product)
 	Expect(ok).To(BeTrue())
 	return p
@@ -41,58 +41,58 @@
 			Expect(ok).To(BeTrue())
 			set := bench.DefaultSettings()
 			set.Scale = bounds.QuickScale
-			Expect(b.Check(bench.Measure(s, product(), set))).To(BeEmpty())
+			Expect(b.Check(bench.Measure(s, productPolicy(), set))).To(BeEmpty())
 		})
 	}
 })
 
 var _ = Describe("a run", func() {
-	It("is the same every time with the same seed", func() {
+	It("is deterministic for a given seed", func() {
 		s, _ := bench.Find("te-puna-0.8x")
 		set := bench.DefaultSettings()
 		set.Scale = 0.1
-		Expect(bench.Measure(s, product(), set)).To(Equal(bench.Measure(s, product(), set)))
+		Expect(bench.Measure(s, productPolicy(), set)).To(Equal(bench.Measure(s, productPolicy(), set)))
 	})
 
-	// Tutors wait although engines are idle: their instance died, and the memory
-	// that it had reserved for an archive stayed accounted. Renewals stop with
-	// the instance, so its reservations expire.
-	It("frees what a dead instance had reserved", func() {
+	// Guards against leaked reservations: memory reserved by a crashed instance
+	// stayed accounted, so requests waited while engines were idle. Renewals stop
+	// with the instance, so its reservations expire.
+	It("releases the reservations of a crashed instance", func() {
 		s, _ := bench.Find("entry-dies")
 		set := bench.DefaultSettings()
 		set.Scale = 0.4
-		sum := bench.Measure(s, product(), set)
+		sum := bench.Measure(s, productPolicy(), set)
 		Expect(sum.Lost).To(BeNumerically(">", 0))
 		Expect(sum.Reserved).To(BeZero())
 		Expect(sum.Late + sum.Unanswered).To(BeZero())
 	})
 
-	// A milestone review that was admitted fails after ten minutes, and four
-	// others on engines that look idle wait as long: one engine of a gang died
-	// while its part waited for its turn, nobody told the gang, and its other
-	// parts held their memory until the deadline.
-	It("forms a gang anew when one of its engines dies before its turn", func() {
+	// Guards against a stuck gang: an engine crashed while its part was still
+	// queued and the gang was not notified, so the other parts held their memory
+	// until the deadline. The request failed after its ten minutes, and four
+	// others waited as long on engines that looked idle.
+	It("re-forms a gang when one of its engines crashes before its part starts", func() {
 		s, _ := bench.Find("engine-dies")
-		sum := bench.Measure(s, product(), bench.DefaultSettings())
+		sum := bench.Measure(s, productPolicy(), bench.DefaultSettings())
 		Expect(sum.Failures).To(BeEmpty())
 		Expect(sum.WorstLongMS).To(BeNumerically("<", 450_000))
 	})
 
-	It("keeps short requests quicker than any baseline beside long ones", func() {
+	It("keeps short requests more than three times faster than any baseline under mixed load", func() {
 		s, _ := bench.Find("thistlegate-0.8x")
 		set := bench.DefaultSettings()
 		set.Scale = 0.3
-		ours := bench.Measure(s, product(), set)
+		productSummary := bench.Measure(s, productPolicy(), set)
 		for _, name := range []string{"round-robin", "least-outstanding", "two-reports"} {
 			p, _ := bench.LookupPolicy(name)
-			Expect(bench.Measure(s, p, set).ShortP99MS).To(BeNumerically(">", 3*ours.ShortP99MS), name)
+			Expect(bench.Measure(s, p, set).ShortP99MS).To(BeNumerically(">", 3*productSummary.ShortP99MS), name)
 		}
 	})
 })
 
 // TestPromisesProperty draws small sites, loads and faults. Every request must
-// have one outcome by its deadline, no stream that may not be repeated may be
-// started twice, and no memory may stay held or reserved.
+// have exactly one outcome by its deadline, non-repeatable requests must not be
+// dispatched twice, and no memory may stay held or reserved.
 func TestPromisesProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := rapid.IntRange(2, 6).Draw(t, "engines")
@@ -112,15 +112,15 @@
 		for i, a := range mix.Generate(uint64(rapid.IntRange(1, 1000).Draw(t, "seed")), rate, 20*time.Second, bench.Everything) {
 			l.Submit(i%entries, a)
 		}
-		faulty := fmt.Sprintf("e%d", rapid.IntRange(0, engines-1).Draw(t, "faulty"))
+		faultyEngine := fmt.Sprintf("e%d", rapid.IntRange(0, engines-1).Draw(t, "faulty"))
 		at := time.Duration(rapid.IntRange(1, 20).Draw(t, "at")) * time.Second
 		switch rapid.IntRange(0, 4).Draw(t, "fault") {
 		case 0:
-			l.At(at, func(l *bench.Loop, now time.Duration) { l.Kill(now, faulty) })
+			l.At(at, func(l *bench.Loop, now time.Duration) { l.Kill(now, faultyEngine) })
 		case 1:
-			l.At(at, func(l *bench.Loop, now time.Duration) { l.Hang(now, faulty) })
+			l.At(at, func(l *bench.Loop, now time.Duration) { l.Hang(now, faultyEngine) })
 		case 2:
-			l.At(at, func(l *bench.Loop, _ time.Duration) { l.Slow(faulty, 4) })
+			l.At(at, func(l *bench.Loop, _ time.Duration) { l.Slow(faultyEngine, 4) })
 		case 3:
 			if entries > 1 {
 				l.At(at, func(l *bench.Loop, now time.Duration) { l.KillEntry(now, "a-entry") })
@@ -133,10 +133,10 @@
 			t.Fatalf("%d unanswered, %d late", s.Unanswered, s.Late)
 		}
 		if s.Twice > 0 {
-			t.Fatalf("%d requests that may not be repeated were started twice", s.Twice)
+			t.Fatalf("%d non-repeatable requests were dispatched twice", s.Twice)
 		}
 		if s.Duplicates > 0 {
-			t.Fatalf("%d requests had two outcomes", s.Duplicates)
+			t.Fatalf("%d requests had more than one outcome", s.Duplicates)
 		}
 		if s.Reserved != 0 {
 			t.Fatalf("%d tokens stayed reserved", s.Reserved)
--- a/lab/bench/bounds.go
+++ b/lab/bench/bounds.go
@@ -6,16 +6,17 @@
 	"github.com/auburnmoor/auburnmoor/settings"
 )
 
-// Bounds are the regression bounds of the experiments.
+// Bounds are the regression limits of the experiments.
 type Bounds struct {
-	// QuickScale shortens the scenarios that "make test" checks.
+	// QuickScale scales down the duration of the scenarios in "make test".
 	QuickScale float64 `toml:"quick_scale" validate:"gt=0,lte=1"`
 	Quick      []Bound `toml:"quick" validate:"required,dive"`
 	Full       []Bound `toml:"full" validate:"required,dive"`
 }
 
-// Bound limits the figures of one scenario. Zero limits are not checked, but
-// for lateness, memory and repeats, which must always be zero.
+// Bound limits the metrics of one scenario. A limit of zero is not checked.
+// Lateness, missing or duplicate outcomes, repeated dispatch and leaked
+// reservations must always be zero.
 type Bound struct {
 	Scenario     string  `toml:"scenario" validate:"required"`
 	Slowdown     float64 `toml:"slowdown"`
@@ -29,7 +30,7 @@
 	Bytes        float64 `toml:"bytes"`
 }
 
-// ParseBounds reads a bounds file.
+// ParseBounds parses a bounds file.
 func ParseBounds(raw []byte) (Bounds, error) {
 	var b Bounds
 	if p := settings.Strict(raw, &b); len(p) > 0 {
@@ -38,7 +39,7 @@
 	return b, nil
 }
 
-// Check returns a line for every bound that a run breaks.
+// Check returns a message for every limit that a run violates.
 func (b Bound) Check(s Summary) []string {
 	var out []string
 	atMost := func(name string, got, limit float64) {
--- a/lab/bench/loop.go
+++ b/lab/bench/loop.go
@@ -1,6 +1,6 @@
-// Package bench measures the decision code in virtual time: one event loop
-// drives the machines of several instances and emulated engines, with a
-// constant delay for every hop. It models no network and no processes.
+// Package bench benchmarks the decision code in virtual time: one event loop
+// drives the state machines of several instances and emulated engines, with a
+// constant delay per hop. It does not model a network or processes.
 package bench
 
 import (
@@ -15,14 +15,15 @@
 	"github.com/auburnmoor/auburnmoor/vtime"
 )
 
-// Periods of the loop.
+// Intervals of the loop. An engine failure is detected after three missed
+// reports.
 const (
-	tickEvery   = 20 * time.Millisecond
-	reportEvery = 250 * time.Millisecond
-	lostAfter   = 3 * reportEvery
+	tickInterval          = 20 * time.Millisecond
+	reportInterval        = 250 * time.Millisecond
+	failureDetectionDelay = 3 * reportInterval
 )
 
-// Site is the fleet under measurement.
+// Site describes the simulated fleet.
 type Site struct {
 	Entries   int
 	Engines   []enginecore.Config
@@ -33,25 +34,25 @@
 }
 
 type simEngine struct {
-	name    string
-	cfg     enginecore.Config
-	core    *enginecore.Core
-	dead    bool
-	wakeAt  time.Duration
-	waking  bool
-	streams map[string]startedStream
-	seq     uint64
+	name          string
+	cfg           enginecore.Config
+	core          *enginecore.Core
+	dead          bool
+	stepAt        time.Duration
+	stepScheduled bool
+	streams       map[string]startedStream
+	lastEvent     uint64
 }
 
 type startedStream struct {
-	entry   string
-	part    string
-	attempt uint32
-	last    bool
-	request string
+	entry       string
+	partID      string
+	attempt     uint32
+	lastSegment bool
+	request     string
 }
 
-// Outcome is what happened to one request.
+// Outcome records the result and timing of one request.
 type Outcome struct {
 	Arrival
 	At         time.Duration
@@ -62,137 +63,139 @@
 	Answered   bool
 	Duplicates int
 	Dispatched int
-	// Lost tells that the instance serving the caller died.
+	// Lost is set if the entry instance of the request crashed.
 	Lost  bool
 	entry string
 }
 
-// Loop runs one site in virtual time.
+// Loop simulates one site in virtual time.
 type Loop struct {
-	site     Site
-	clock    vtime.Queue
-	names    []string
-	machines map[string]dispatch.Machine
-	engines  map[string]*simEngine
-	order    []string
-	owners   map[string]string
-	outcomes map[string]*Outcome
-	Messages int
-	Bytes    int
-	open     int
+	site        Site
+	clock       vtime.Queue
+	entryNames  []string
+	machines    map[string]dispatch.Machine
+	engines     map[string]*simEngine
+	engineNames []string
+	owners      map[string]string
+	outcomes    map[string]*Outcome
+	Messages    int
+	Bytes       int
+	pending     int
 }
 
-// NewLoop builds a site at time zero.
+// NewLoop creates a site at virtual time zero.
 func NewLoop(site Site) *Loop {
 	l := &Loop{site: site, machines: map[string]dispatch.Machine{}, engines: map[string]*simEngine{}, outcomes: map[string]*Outcome{}}
 	for i := range site.Entries {
 		name := entryName(i)
-		l.names = append(l.names, name)
+		l.entryNames = append(l.entryNames, name)
 		l.machines[name] = site.NewEntry(name, site.Seed+uint64(i))
 	}
 	for _, cfg := range site.Engines {
 		l.engines[cfg.Name] = &simEngine{name: cfg.Name, cfg: cfg, core: enginecore.New(cfg), streams: map[string]startedStream{}}
-		l.order = append(l.order, cfg.Name)
+		l.engineNames = append(l.engineNames, cfg.Name)
 	}
-	l.publish(0)
-	for _, n := range l.names {
-		l.every(tickEvery, func(now time.Duration) { l.step(now, n, dispatch.Tick{}) })
+	l.publishDirectory(0)
+	for _, n := range l.entryNames {
+		l.schedulePeriodic(tickInterval, func(now time.Duration) { l.deliver(now, n, dispatch.Tick{}) })
 	}
-	for _, n := range l.order {
-		l.every(reportEvery, func(now time.Duration) { l.report(now, l.engines[n]) })
+	for _, n := range l.engineNames {
+		l.schedulePeriodic(reportInterval, func(now time.Duration) { l.sendReport(now, l.engines[n]) })
 	}
 	return l
 }
 
 func entryName(i int) string { return string(rune('a'+i)) + "-entry" }
 
-func (l *Loop) at(t time.Duration, run func(time.Duration)) {
+func (l *Loop) schedule(t time.Duration, run func(time.Duration)) {
 	l.clock.At(t, func() { run(l.clock.Now()) })
 }
 
-func (l *Loop) every(d time.Duration, run func(time.Duration)) {
-	var again func(time.Duration)
-	again = func(now time.Duration) {
+func (l *Loop) schedulePeriodic(d time.Duration, run func(time.Duration)) {
+	var repeat func(time.Duration)
+	repeat = func(now time.Duration) {
 		run(now)
-		l.at(now+d, again)
+		l.schedule(now+d, repeat)
 	}
-	l.at(l.clock.Now(), again)
+	l.schedule(l.clock.Now(), repeat)
 }
 
-// publish tells every machine the engines and their owners.
-func (l *Loop) publish(now time.Duration) {
-	l.owners = place.Assign(l.order, l.names)
+// publishDirectory assigns the engines to owners and sends the result to every
+// entry.
+func (l *Loop) publishDirectory(now time.Duration) {
+	l.owners = place.Assign(l.engineNames, l.entryNames)
 	var dir dispatch.Directory
-	for _, n := range l.order {
+	for _, n := range l.engineNames {
 		e := l.engines[n]
 		dir.Engines = append(dir.Engines, dispatch.EngineInfo{
 			Name: n, Models: e.cfg.Models, KVTotal: e.cfg.KVTokens, Owner: l.owners[n],
 		})
 	}
-	for _, n := range l.names {
-		l.step(now, n, dir)
+	for _, n := range l.entryNames {
+		l.deliver(now, n, dir)
 	}
 }
 
-func (l *Loop) report(now time.Duration, e *simEngine) {
+func (l *Loop) sendReport(now time.Duration, e *simEngine) {
 	if e.dead {
 		return
 	}
 	owner := l.owners[e.name]
-	ev := dispatch.EngineReport{Report: e.core.LaggedReport(now), Events: e.core.Events(now, e.seq)}
+	ev := dispatch.EngineReport{Report: e.core.LaggedReport(now), Events: e.core.Events(now, e.lastEvent)}
 	if n := len(ev.Events); n > 0 {
-		e.seq = ev.Events[n-1].Seq
+		e.lastEvent = ev.Events[n-1].Seq
 	}
-	for _, n := range l.names {
+	for _, n := range l.entryNames {
 		if n == owner || l.site.ReportAll {
-			l.at(now+l.site.Hop, func(t time.Duration) { l.step(t, n, ev) })
+			l.schedule(now+l.site.Hop, func(t time.Duration) { l.deliver(t, n, ev) })
 		}
 	}
 }
 
 // Submit schedules the arrival of a request at an entry.
 func (l *Loop) Submit(entry int, a Arrival) {
-	l.open++
-	l.at(a.At, func(now time.Duration) {
-		name := l.names[entry%len(l.names)]
+	l.pending++
+	l.schedule(a.At, func(now time.Duration) {
+		name := l.entryNames[entry%len(l.entryNames)]
 		l.outcomes[a.Job.Id] = &Outcome{Arrival: a, At: now, entry: name}
-		l.step(now, name, dispatch.Arrive{Job: a.Job, Once: a.Once})
+		l.deliver(now, name, dispatch.Arrive{Job: a.Job, Once: a.Once})
 	})
 }
 
-// At schedules a fault.
+// At schedules a call, such as a fault injection, at virtual time t.
 func (l *Loop) At(t time.Duration, run func(*Loop, time.Duration)) {
-	l.at(t, func(now time.Duration) { run(l, now) })
+	l.schedule(t, func(now time.Duration) { run(l, now) })
 }
 
-// Run processes events until every request has an outcome or until passes.
+// Run processes events until every request has an outcome or the virtual time
+// reaches until.
 func (l *Loop) Run(until time.Duration) {
-	l.clock.RunUntil(until, func() bool { return l.open > 0 })
+	l.clock.RunUntil(until, func() bool { return l.pending > 0 })
 }
 
-// Settle lets time pass after the last request.
+// Settle advances virtual time by d after the last request.
 func (l *Loop) Settle(d time.Duration) { l.clock.RunUntil(l.clock.Now()+d, vtime.Always) }
 
-func (l *Loop) step(now time.Duration, name string, ev dispatch.Event) {
+func (l *Loop) deliver(now time.Duration, name string, ev dispatch.Event) {
 	m := l.machines[name]
 	if m == nil {
 		return
 	}
 	for _, a := range m.Step(now, ev) {
-		l.act(now, name, a)
+		l.perform(now, name, a)
 	}
 }
 
-func (l *Loop) act(now time.Duration, name string, a dispatch.Action) {
+func (l *Loop) perform(now time.Duration, name string, a dispatch.Action) {
 	switch a := a.(type) {
 	case dispatch.Send:
 		l.Messages++
 		l.Bytes += proto.Size(a.Env)
-		l.at(now+l.site.Hop, func(t time.Duration) { l.step(t, a.To, dispatch.Received{From: name, Env: a.Env}) })
+		l.schedule(now+l.site.Hop, func(t time.Duration) { l.deliver(t, a.To, dispatch.Received{From: name, Env: a.Env}) })
 	case dispatch.Start:
-		l.at(now+l.site.Hop, func(t time.Duration) { l.start(t, name, a) })
+		l.schedule(now+l.site.Hop, func(t time.Duration) { l.startStream(t, name, a) })
 	case dispatch.Cancel:
-		l.at(now+l.site.Hop, func(t time.Duration) { l.cancel(t, a) })
+		l.schedule(now+l.site.Hop, func(t time.Duration) { l.cancelStream(t, a) })
 	case dispatch.Finish:
 		l.finish(now, a.ID, a.Err)
 	}
@@ -207,7 +210,7 @@
 		return
 	}
 	o.End = now
-	l.open--
+	l.pending--
 	if err != nil {
 		o.Code, o.NotRun = err.Code, err.NotRun
 		return
@@ -215,21 +218,21 @@
 	o.Answered = true
 }
 
-func (l *Loop) start(now time.Duration, entry string, a dispatch.Start) {
+func (l *Loop) startStream(now time.Duration, entry string, a dispatch.Start) {
 	e := l.engines[a.Engine]
-	fault := func(f dispatch.Fault) {
-		l.at(now+l.site.Hop, func(t time.Duration) {
-			l.step(t, entry, dispatch.StreamEnd{ID: a.ID, Attempt: a.Attempt, Fault: f})
+	sendFault := func(f dispatch.Fault) {
+		l.schedule(now+l.site.Hop, func(t time.Duration) {
+			l.deliver(t, entry, dispatch.StreamEnd{ID: a.ID, Attempt: a.Attempt, Fault: f})
 		})
 	}
 	if e.dead {
-		fault(dispatch.NotSent)
+		sendFault(dispatch.NotSent)
 		return
 	}
 	id := dispatch.StreamID(a.ID, a.Attempt)
 	if a.Resume {
 		if _, ok := e.streams[id]; !ok {
-			fault(dispatch.Refused)
+			sendFault(dispatch.Refused)
 		}
 		return
 	}
@@ -237,41 +240,41 @@
 	o.Dispatched++
 	req := o.engineRequest(a, id)
 	if err := e.core.Submit(now, req); err != nil {
-		fault(dispatch.Refused)
+		sendFault(dispatch.Refused)
 		return
 	}
-	e.streams[id] = startedStream{entry: entry, part: a.ID, attempt: a.Attempt, request: a.Request, last: a.Segment == nil || a.Segment.Last}
-	l.wake(e)
+	e.streams[id] = startedStream{entry: entry, partID: a.ID, attempt: a.Attempt, request: a.Request, lastSegment: a.Segment == nil || a.Segment.Last}
+	l.scheduleStep(e)
 }
 
-func (l *Loop) cancel(now time.Duration, a dispatch.Cancel) {
+func (l *Loop) cancelStream(now time.Duration, a dispatch.Cancel) {
 	e := l.engines[a.Engine]
 	if e.dead {
 		return
 	}
 	e.core.Cancel(now, a.Stream)
 	delete(e.streams, a.Stream)
-	l.wake(e)
+	l.scheduleStep(e)
 }
 
-// wake schedules the end of the engine's step in progress.
-func (l *Loop) wake(e *simEngine) {
+// scheduleStep schedules the end of the engine's current step.
+func (l *Loop) scheduleStep(e *simEngine) {
 	at, ok := e.core.Next()
-	if !ok || (e.waking && e.wakeAt <= at) {
+	if !ok || (e.stepScheduled && e.stepAt <= at) {
 		return
 	}
-	e.waking, e.wakeAt = true, at
-	l.at(at, func(now time.Duration) {
-		if e.wakeAt != at || !e.waking {
+	e.stepScheduled, e.stepAt = true, at
+	l.schedule(at, func(now time.Duration) {
+		if e.stepAt != at || !e.stepScheduled {
 			return
 		}
-		e.waking = false
-		l.outputs(now, e, e.core.Advance(now))
-		l.wake(e)
+		e.stepScheduled = false
+		l.handleOutputs(now, e, e.core.Advance(now))
+		l.scheduleStep(e)
 	})
 }
 
-func (l *Loop) outputs(now time.Duration, e *simEngine, outs []enginecore.Output) {
+func (l *Loop) handleOutputs(now time.Duration, e *simEngine, outs []enginecore.Output) {
 	for _, out := range outs {
 		st, ok := e.streams[out.ID]
 		if !ok {
@@ -279,69 +282,69 @@
 		}
 		switch {
 		case out.Kind == enginecore.Held:
-			l.toEntry(now, st.entry, dispatch.StreamHeld{ID: st.part, Attempt: st.attempt})
+			l.sendToEntry(now, st.entry, dispatch.StreamHeld{ID: st.partID, Attempt: st.attempt})
 		case out.Kind == enginecore.Token && out.Seq == 0:
-			l.firstToken(now, st, out)
+			l.handleFirstToken(now, st, out)
 		case out.Kind == enginecore.End:
 			delete(e.streams, out.ID)
-			l.at(now+l.site.Hop, func(t time.Duration) {
+			l.schedule(now+l.site.Hop, func(t time.Duration) {
 				l.finish(t, st.request, nil)
-				l.step(t, st.entry, dispatch.StreamEnd{ID: st.part, Attempt: st.attempt})
+				l.deliver(t, st.entry, dispatch.StreamEnd{ID: st.partID, Attempt: st.attempt})
 			})
 		}
 	}
 }
 
-func (l *Loop) firstToken(now time.Duration, st startedStream, out enginecore.Output) {
-	l.at(now+l.site.Hop, func(t time.Duration) {
-		if o := l.outcomes[st.request]; o != nil && st.last {
+func (l *Loop) handleFirstToken(now time.Duration, st startedStream, out enginecore.Output) {
+	l.schedule(now+l.site.Hop, func(t time.Duration) {
+		if o := l.outcomes[st.request]; o != nil && st.lastSegment {
 			o.First = t
 		}
-		l.step(t, st.entry, dispatch.StreamFirstToken{ID: st.part, Attempt: st.attempt, Cached: out.Cached})
+		l.deliver(t, st.entry, dispatch.StreamFirstToken{ID: st.partID, Attempt: st.attempt, Cached: out.Cached})
 	})
 }
 
-func (l *Loop) toEntry(now time.Duration, entry string, ev dispatch.Event) {
-	l.at(now+l.site.Hop, func(t time.Duration) { l.step(t, entry, ev) })
+func (l *Loop) sendToEntry(now time.Duration, entry string, ev dispatch.Event) {
+	l.schedule(now+l.site.Hop, func(t time.Duration) { l.deliver(t, entry, ev) })
 }
 
-// Kill makes an engine lose everything; its connections break at once and its
-// owner notices after a few polls.
+// Kill crashes an engine: its state is lost and its connections break at once;
+// the entries receive EngineLost after failureDetectionDelay.
 func (l *Loop) Kill(now time.Duration, name string) {
 	e := l.engines[name]
 	e.dead = true
 	for id, st := range e.streams {
 		delete(e.streams, id)
-		l.toEntry(now, st.entry, dispatch.StreamEnd{ID: st.part, Attempt: st.attempt, Fault: dispatch.Broken})
+		l.sendToEntry(now, st.entry, dispatch.StreamEnd{ID: st.partID, Attempt: st.attempt, Fault: dispatch.Broken})
 	}
 	e.core = enginecore.New(e.cfg)
-	l.at(now+lostAfter, func(t time.Duration) {
-		for _, n := range l.names {
-			l.step(t, n, dispatch.EngineLost{Engine: name})
+	l.schedule(now+failureDetectionDelay, func(t time.Duration) {
+		for _, n := range l.entryNames {
+			l.deliver(t, n, dispatch.EngineLost{Engine: name})
 		}
 	})
 }
 
-// Hang stops an engine's work, Slow stretches its steps.
+// Hang makes an engine stop processing.
 func (l *Loop) Hang(now time.Duration, name string) { l.engines[name].core.Hang(now, true) }
 
 // Slow multiplies the step times of an engine.
 func (l *Loop) Slow(name string, factor float64) { l.engines[name].core.Slow(factor) }
 
-// KillEntry removes an instance; its requests have no outcome any more.
+// KillEntry crashes an entry instance; its unfinished requests count as lost.
 func (l *Loop) KillEntry(now time.Duration, name string) {
 	delete(l.machines, name)
 	for _, o := range l.outcomes {
 		if o.entry == name && o.End == 0 {
 			o.Lost = true
 			o.End = now
-			l.open--
+			l.pending--
 		}
 	}
-	for i, n := range l.names {
+	for i, n := range l.entryNames {
 		if n == name {
-			l.names = append(l.names[:i:i], l.names[i+1:]...)
+			l.entryNames = append(l.entryNames[:i:i], l.entryNames[i+1:]...)
 		}
 	}
-	l.publish(now)
+	l.publishDirectory(now)
 }
--- a/lab/bench/plot.go
+++ b/lab/bench/plot.go
@@ -2,8 +2,8 @@
 
 import "github.com/auburnmoor/auburnmoor/lab/plots"
 
-// Plot draws the p95 time to first token by prompt length, a bar for each
-// policy.
+// Plot draws a bar chart of the p95 time to first token by prompt length class,
+// with one bar per policy.
 func Plot(path string, sums []Summary) error {
 	var groups []string
 	for _, c := range Classes {
@@ -11,11 +11,11 @@
 	}
 	var series []plots.Series
 	for _, s := range sums {
-		line := plots.Series{Name: s.Policy}
+		bars := plots.Series{Name: s.Policy}
 		for _, c := range s.Classes {
-			line.Y = append(line.Y, c.P95MS/1000)
+			bars.Y = append(bars.Y, c.P95MS/1000)
 		}
-		series = append(series, line)
+		series = append(series, bars)
 	}
 	return plots.Bars(path, sums[0].Scenario+": p95 time to first token", "seconds", groups, series)
 }
--- a/lab/bench/policy.go
+++ b/lab/bench/policy.go
@@ -9,19 +9,20 @@
 	"github.com/auburnmoor/auburnmoor/decide/sched"
 )
 
-// Policy is a way to run a site: the product's, a variant of it or a baseline.
+// Policy selects the decision code under test: the product, a variant of it or a
+// baseline.
 type Policy struct {
 	Name  string
 	About string
-	// New returns the machine of one entry.
+	// New returns the state machine of one entry.
 	New func(name string, seed uint64) dispatch.Machine
-	// ReportAll sends every load report to every entry.
+	// ReportAll sends every load report to all entries, not only to the owner.
 	ReportAll bool
 }
 
 var policies = map[string]Policy{}
 
-// RegisterPolicy adds a policy; a duplicate is a defect.
+// RegisterPolicy adds a policy; it panics on a duplicate name.
 func RegisterPolicy(p Policy) {
 	if _, ok := policies[p.Name]; ok {
 		panic(fmt.Sprintf("bench: policy %q registered twice", p.Name))
@@ -29,7 +30,7 @@
 	policies[p.Name] = p
 }
 
-// PolicyNames lists the registered policies.
+// PolicyNames returns the sorted names of the registered policies.
 func PolicyNames() []string {
 	var out []string
 	for n := range policies {
@@ -42,7 +43,7 @@
 // Product is the name of the policy that the daemon runs.
 const Product = "auburnmoor"
 
-func variant(change func(*dispatch.Config)) func(string, uint64) dispatch.Machine {
+func newVariant(change func(*dispatch.Config)) func(string, uint64) dispatch.Machine {
 	return func(name string, seed uint64) dispatch.Machine {
 		cfg := dispatch.DefaultConfig()
 		change(&cfg)
@@ -51,30 +52,31 @@
 }
 
 func init() {
-	RegisterPolicy(Policy{Name: Product, About: "what the daemon runs", New: variant(func(*dispatch.Config) {})})
+	RegisterPolicy(Policy{Name: Product, About: "what the daemon runs", New: newVariant(func(*dispatch.Config) {})})
 	RegisterPolicy(Policy{Name: "round-robin", About: "entries take engines in turn, engines run in order of arrival", New: newBaseline(pickRoundRobin)})
 	RegisterPolicy(Policy{Name: "least-outstanding", About: "entries take the engine with the fewest of their own requests", New: newBaseline(pickLeastOutstanding)})
-	RegisterPolicy(Policy{Name: "two-reports", About: "power of two choices on lagging load reports", New: newBaseline(pickTwoReports), ReportAll: true})
+	RegisterPolicy(Policy{Name: "two-reports", About: "power of two choices on lagging load reports", New: newBaseline(pickPowerOfTwo), ReportAll: true})
 	for _, order := range []string{"fcfs", "shortest", "slack"} {
 		RegisterPolicy(Policy{Name: "order-" + order, About: "the product with the order " + order,
-			New: variant(func(c *dispatch.Config) { c.Sched.Order = order })})
+			New: newVariant(func(c *dispatch.Config) { c.Sched.Order = order })})
 	}
-	sched.RegisterOrder("one-stretch", sched.OrderFunc(oneStretch))
+	sched.RegisterOrder("one-stretch", sched.OrderFunc(orderByUniformStretch))
 	RegisterPolicy(Policy{Name: "order-one-stretch", About: "the product with one allowance for all requests",
-		New: variant(func(c *dispatch.Config) { c.Sched.Order = "one-stretch" })})
+		New: newVariant(func(c *dispatch.Config) { c.Sched.Order = "one-stretch" })})
 	RegisterPolicy(Policy{Name: "patient-whole", About: "the product that admits patient requests for their whole time",
-		New: variant(func(c *dispatch.Config) { c.Sched.DeferrableShare = 1 })})
+		New: newVariant(func(c *dispatch.Config) { c.Sched.DeferrableShare = 1 })})
 	RegisterPolicy(Policy{Name: "no-affinity", About: "the product without prefix affinity",
-		New: variant(func(c *dispatch.Config) { c.Sched.Affinity = false })})
+		New: newVariant(func(c *dispatch.Config) { c.Sched.Affinity = false })})
 	RegisterPolicy(Policy{Name: "one-candidate", About: "the product asking one engine only",
-		New: variant(func(c *dispatch.Config) { c.Candidates = 1 })})
+		New: newVariant(func(c *dispatch.Config) { c.Candidates = 1 })})
 	RegisterPolicy(Policy{Name: "two-candidates", About: "the product asking two engines",
-		New: variant(func(c *dispatch.Config) { c.Candidates = 2 })})
+		New: newVariant(func(c *dispatch.Config) { c.Candidates = 2 })})
 	RegisterPolicy(Policy{Name: "no-headroom", About: "the product without memory kept for short requests",
-		New: variant(func(c *dispatch.Config) { c.Sched.Headroom = 0 })})
+		New: newVariant(func(c *dispatch.Config) { c.Sched.Headroom = 0 })})
 }
 
-// oneStretch ranks every request by four times its own prefill time.
-func oneStretch(w sched.Work) time.Duration {
+// orderByUniformStretch ranks requests by a target of four times the prefill
+// time, capped by the latest start that meets the deadline.
+func orderByUniformStretch(w sched.Work) time.Duration {
 	return min(w.Arrived+4*w.Prefill, w.Deadline-w.Total)
 }
--- a/lab/bench/scenario.go
+++ b/lab/bench/scenario.go
@@ -9,7 +9,7 @@
 	"github.com/auburnmoor/auburnmoor/peerpb"
 )
 
-// Scenario is a named experiment.
+// Scenario defines a named experiment.
 type Scenario struct {
 	Name    string
 	About   string
@@ -17,49 +17,49 @@
 	Engines int
 	Entries int
 	Hop     time.Duration
-	// Load is the rate as a multiple of the engines' capacity.
+	// Load is the request rate as a multiple of the engines' capacity.
 	Load     float64
 	Duration time.Duration
-	// ReportLag is how late load reports are.
+	// ReportLag is the age of the state in load reports.
 	ReportLag time.Duration
-	// Prepare adds arrivals and faults.
+	// Prepare adds extra arrivals and faults; it may be nil.
 	Prepare func(*Run)
-	// Baselines also runs the baseline policies.
+	// Baselines makes the experiment also run the baseline policies.
 	Baselines bool
 }
 
-// Settings of a run that are the same for every scenario.
+// Settings hold the parameters of a run that do not depend on the scenario.
 type Settings struct {
 	Seed   uint64
-	Factor float64
-	// Scale shortens the duration, for quick checks.
+	Factor float64 // scales the assumed step times of the engines
+	// Scale multiplies the duration; quick checks use less than 1.
 	Scale float64
 }
 
-// DefaultSettings are those of the committed figures.
+// DefaultSettings returns the settings of the committed results.
 func DefaultSettings() Settings { return Settings{Seed: 1, Factor: 1, Scale: 1} }
 
-// defaultDuration is the virtual time in which requests arrive.
+// defaultDuration is the virtual time during which requests arrive.
 const defaultDuration = 200 * time.Second
 
-func tePuna(name, about string, load float64) Scenario {
+func tePunaScenario(name, about string, load float64) Scenario {
 	return Scenario{Name: name, About: about, Mix: TePuna, Engines: 20, Entries: 7, Hop: time.Millisecond, Load: load, Duration: defaultDuration, ReportLag: 500 * time.Millisecond}
 }
 
-func thistlegate(name, about string, load float64) Scenario {
+func thistlegateScenario(name, about string, load float64) Scenario {
 	return Scenario{Name: name, About: about, Mix: Thistlegate, Engines: 15, Entries: 6, Hop: 1500 * time.Microsecond, Load: load, Duration: defaultDuration, ReportLag: 500 * time.Millisecond}
 }
 
-// Scenarios returns every scenario in the order of the report.
+// Scenarios returns all scenarios in report order.
 func Scenarios() []Scenario {
 	var out []Scenario
 	for _, load := range []float64{0.5, 0.8, 1.0, 1.5, 3.0} {
-		s := tePuna(fmt.Sprintf("te-puna-%.1fx", load), fmt.Sprintf("Te Puna's mix at %.1f of capacity", load), load)
+		s := tePunaScenario(fmt.Sprintf("te-puna-%.1fx", load), fmt.Sprintf("Te Puna's mix at %.1f of capacity", load), load)
 		s.Baselines = load == 0.8
 		out = append(out, s)
 	}
 	for _, load := range []float64{0.5, 0.8, 1.0, 1.5, 3.0} {
-		s := thistlegate(fmt.Sprintf("thistlegate-%.1fx", load), fmt.Sprintf("Thistlegate's mix at %.1f of capacity", load), load)
+		s := thistlegateScenario(fmt.Sprintf("thistlegate-%.1fx", load), fmt.Sprintf("Thistlegate's mix at %.1f of capacity", load), load)
 		s.Baselines = load == 0.8
 		out = append(out, s)
 	}
@@ -67,26 +67,26 @@
 }
 
 func faultScenarios() []Scenario {
-	burst := tePuna("burst", "twenty of the longest prompts within a second at half load", 0.5)
-	burst.Prepare = func(r *Run) { r.burst(30*time.Second, 20) }
-	dies := tePuna("engine-dies", "an engine dies at 60 s", 0.8)
-	dies.Prepare = func(r *Run) { r.loop.At(60*time.Second, func(l *Loop, now time.Duration) { l.Kill(now, "engine-01") }) }
-	hangs := tePuna("engine-hangs", "an engine hangs from 60 s on", 0.8)
-	hangs.Prepare = func(r *Run) { r.loop.At(60*time.Second, func(l *Loop, now time.Duration) { l.Hang(now, "engine-01") }) }
-	slow := tePuna("engine-slow", "an engine is four times slower from 60 s on", 0.8)
-	slow.Prepare = func(r *Run) { r.loop.At(60*time.Second, func(l *Loop, _ time.Duration) { l.Slow("engine-01", 4) }) }
-	lag := tePuna("report-lag", "load reports lag five seconds", 0.8)
-	lag.ReportLag = 5 * time.Second
-	flood := thistlegate("flood", "the smallest customer sends as much as all others together from 30 s to 90 s", 0.6)
-	flood.Prepare = func(r *Run) { r.flood(30*time.Second, 90*time.Second) }
-	entry := tePuna("entry-dies", "an entry instance dies at 60 s", 0.8)
-	entry.Prepare = func(r *Run) {
+	burst := tePunaScenario("burst", "twenty of the longest prompts within a second at half load", 0.5)
+	burst.Prepare = func(r *Run) { r.addBurst(30*time.Second, 20) }
+	engineCrash := tePunaScenario("engine-dies", "an engine dies at 60 s", 0.8)
+	engineCrash.Prepare = func(r *Run) { r.loop.At(60*time.Second, func(l *Loop, now time.Duration) { l.Kill(now, "engine-01") }) }
+	engineHang := tePunaScenario("engine-hangs", "an engine hangs from 60 s on", 0.8)
+	engineHang.Prepare = func(r *Run) { r.loop.At(60*time.Second, func(l *Loop, now time.Duration) { l.Hang(now, "engine-01") }) }
+	engineSlow := tePunaScenario("engine-slow", "an engine is four times slower from 60 s on", 0.8)
+	engineSlow.Prepare = func(r *Run) { r.loop.At(60*time.Second, func(l *Loop, _ time.Duration) { l.Slow("engine-01", 4) }) }
+	reportLag := tePunaScenario("report-lag", "load reports lag five seconds", 0.8)
+	reportLag.ReportLag = 5 * time.Second
+	flood := thistlegateScenario("flood", "the smallest customer sends as much as all others together from 30 s to 90 s", 0.6)
+	flood.Prepare = func(r *Run) { r.addFlood(30*time.Second, 90*time.Second) }
+	entryCrash := tePunaScenario("entry-dies", "an entry instance dies at 60 s", 0.8)
+	entryCrash.Prepare = func(r *Run) {
 		r.loop.At(60*time.Second, func(l *Loop, now time.Duration) { l.KillEntry(now, entryName(0)) })
 	}
-	return []Scenario{burst, dies, hangs, slow, lag, flood, entry}
+	return []Scenario{burst, engineCrash, engineHang, engineSlow, reportLag, flood, entryCrash}
 }
 
-// Find returns a scenario by name.
+// Find returns the scenario with the given name.
 func Find(name string) (Scenario, bool) {
 	for _, s := range Scenarios() {
 		if s.Name == name {
@@ -96,7 +96,7 @@
 	return Scenario{}, false
 }
 
-// Run is one run of a scenario under one policy.
+// Run is one execution of a scenario under one policy.
 type Run struct {
 	scenario Scenario
 	settings Settings
@@ -107,10 +107,11 @@
 // drainLimit bounds the virtual time after the last arrival.
 const drainLimit = 15 * time.Minute
 
-// settleTime is how long reservations and streams get to be freed at the end.
+// settleTime is the virtual time allowed at the end for streams and reservations
+// to be released.
 const settleTime = 30 * time.Second
 
-// Execute runs a scenario under a policy.
+// Execute runs a scenario under a policy with the sources that keep selects.
 func Execute(s Scenario, p Policy, set Settings, keep func(Source) bool) *Loop {
 	d := time.Duration(float64(s.Duration) * set.Scale)
 	assume := enginecore.Assumed(set.Factor)
@@ -144,25 +145,25 @@
 	return out
 }
 
-// longest is the prompt length of a burst.
-const longest = 1_000_000
+// burstPromptTokens is the prompt length of the burst requests.
+const burstPromptTokens = 1_000_000
 
-func (r *Run) burst(at time.Duration, n int) {
+func (r *Run) addBurst(at time.Duration, n int) {
 	for i := range n {
 		r.arrivals = append(r.arrivals, Arrival{
 			At: at + time.Duration(i)*time.Second/time.Duration(n), Kind: "burst", Class: Huge,
 			Job: &peerpb.Job{
-				Id: fmt.Sprintf("burst~0~%d", i), Customer: "customer-0", Model: modelName, PromptTokens: longest, MaxTokens: 200,
+				Id: fmt.Sprintf("burst~0~%d", i), Customer: "customer-0", Model: modelName, PromptTokens: burstPromptTokens, MaxTokens: 200,
 				RemainingUs: (10 * time.Minute).Microseconds(), TargetUs: (10 * time.Minute).Microseconds(), Weight: 8,
 			},
 		})
 	}
 }
 
-// floodSource is what a flooding customer sends.
+// floodSource describes the requests of the flooding customer.
 var floodSource = Source{Kind: "flood", Part: 1, Min: 2_000, Max: 16_000, Output: 100, Limit: 30 * time.Second, Target: time.Second}
 
-func (r *Run) flood(from, to time.Duration) {
+func (r *Run) addFlood(from, to time.Duration) {
 	mix := Mix{Sources: []Source{floodSource}, Customers: []int64{1}}
 	rate := mix.Capacity(enginecore.Assumed(r.settings.Factor), r.scenario.Engines) * r.scenario.Load
 	for _, a := range mix.Generate(r.settings.Seed+1, rate, to-from, func(Source) bool { return true }) {
--- a/lab/bench/summary.go
+++ b/lab/bench/summary.go
@@ -5,28 +5,30 @@
 	"time"
 )
 
-// Summary is what one run measured. Durations are in milliseconds.
+// Summary holds the metrics of one run. Durations are in milliseconds.
 type Summary struct {
 	Scenario string       `json:"scenario"`
 	Policy   string       `json:"policy"`
 	Factor   float64      `json:"factor"`
 	Requests int          `json:"requests"`
 	Classes  []ClassStats `json:"classes"`
-	// ShortFirstMS is the p99 time to first token of short requests, AloneMS
-	// the same without the long prompts, and Slowdown their ratio.
+	// ShortP99MS is the p99 time to first token of short requests, AloneMS the
+	// same in a run without long prompts, and Slowdown their ratio.
 	ShortP99MS float64 `json:"short_p99_ms"`
 	AloneMS    float64 `json:"short_alone_p99_ms"`
 	Slowdown   float64 `json:"short_slowdown"`
-	// ShortWithin is the share of answered shorts with a first token in 1 s.
+	// ShortWithin is the share of answered short requests whose first token
+	// came within 1 s.
 	ShortWithin float64 `json:"short_within_1s"`
 	AllP95MS    float64 `json:"all_p95_ms"`
-	// Admitted counts requests not refused as not run; InTime is the share of
-	// them that finished in their time, and Late counts answers after it.
+	// Admitted counts requests that were not refused before execution. InTime
+	// is the share of them answered by the deadline; Late counts outcomes after
+	// it.
 	Admitted   int     `json:"admitted"`
 	InTime     float64 `json:"in_time"`
 	Late       int     `json:"late"`
 	Unanswered int     `json:"unanswered"`
-	// Lost counts requests whose entry instance died.
+	// Lost counts requests whose entry instance crashed.
 	Lost         int            `json:"lost"`
 	Refusals     map[string]int `json:"refusals"`
 	Failures     map[string]int `json:"failures"`
@@ -52,40 +54,40 @@
 	P99MS    float64 `json:"p99_ms"`
 }
 
-// Everything keeps every source of a mix; NoLong leaves out the long prompts.
+// Everything selects every source of a mix.
 func Everything(Source) bool { return true }
 
-// NoLong keeps the sources whose prompts stay below 100k tokens.
+// NoLong selects the sources whose prompts have at most 100k tokens.
 func NoLong(s Source) bool { return s.Max <= 100_000 }
 
-// grace is the lateness that a tick and a hop explain.
-const grace = 50 * time.Millisecond
+// lateTolerance is the lateness that one tick and one hop can cause.
+const lateTolerance = 50 * time.Millisecond
 
-// Measure runs a scenario under a policy, and once more without the long
-// prompts for the slowdown.
+// Measure runs a scenario under a policy, and again without long prompts and
+// faults to compute the slowdown.
 func Measure(s Scenario, p Policy, set Settings) Summary {
 	l := Execute(s, p, set, Everything)
 	sum := Summarize(l)
 	sum.Scenario, sum.Policy, sum.Factor = s.Name, p.Name, set.Factor
 	alone := s
 	alone.Prepare = nil
-	sum.AloneMS = quantile(firsts(Execute(alone, p, set, NoLong), Short), 0.99)
+	sum.AloneMS = quantile(firstTokenTimes(Execute(alone, p, set, NoLong), Short), 0.99)
 	if sum.AloneMS > 0 {
 		sum.Slowdown = sum.ShortP99MS / sum.AloneMS
 	}
 	return sum
 }
 
-// Summarize condenses what a loop saw.
+// Summarize computes the metrics of a finished loop.
 func Summarize(l *Loop) Summary {
 	s := Summary{Requests: len(l.outcomes), Refusals: map[string]int{}, Failures: map[string]int{}}
 	for _, c := range Classes {
-		f := firsts(l, c)
+		f := firstTokenTimes(l, c)
 		s.Classes = append(s.Classes, ClassStats{Class: c, Answered: len(f), P50MS: quantile(f, 0.5), P95MS: quantile(f, 0.95), P99MS: quantile(f, 0.99)})
 	}
-	s.ShortP99MS = quantile(firsts(l, Short), 0.99)
-	s.AllP95MS = quantile(firsts(l, Classes...), 0.95)
-	s.ShortWithin = within(firsts(l, Short), 1000)
+	s.ShortP99MS = quantile(firstTokenTimes(l, Short), 0.99)
+	s.AllP95MS = quantile(firstTokenTimes(l, Classes...), 0.95)
+	s.ShortWithin = shareWithin(firstTokenTimes(l, Short), 1000)
 	s.count(l)
 	for _, e := range l.engines {
 		s.MemoryLeft += e.core.Held()
@@ -104,7 +106,7 @@
 }
 
 func (s *Summary) count(l *Loop) {
-	inTime, good := 0, int64(0)
+	inTime, goodTokens := 0, int64(0)
 	var refused []float64
 	last := time.Duration(0)
 	computed, useful := int64(0), int64(0)
@@ -127,12 +129,12 @@
 			s.Admitted++
 			last = max(last, o.End)
 			useful += o.Job.PromptTokens
-			if took > limit+grace {
+			if took > limit+lateTolerance {
 				s.Late++
 				continue
 			}
 			inTime++
-			good += o.Job.PromptTokens + o.Job.MaxTokens
+			goodTokens += o.Job.PromptTokens + o.Job.MaxTokens
 			if o.Class.IsLong() {
 				s.WorstLongMS = max(s.WorstLongMS, ms(took))
 			}
@@ -142,7 +144,7 @@
 		default:
 			s.Admitted++
 			s.Failures[o.Code.String()]++
-			if took > limit+grace {
+			if took > limit+lateTolerance {
 				s.Late++
 			}
 		}
@@ -151,13 +153,13 @@
 		s.InTime = float64(inTime) / float64(s.Admitted)
 	}
 	if last > 0 {
-		s.Goodput = float64(good) / last.Seconds()
+		s.Goodput = float64(goodTokens) / last.Seconds()
 	}
 	s.WastedTokens = max(0, computed-useful)
 	s.RefusedP99MS = quantile(refused, 0.99)
 }
 
-func firsts(l *Loop, classes ...Class) []float64 {
+func firstTokenTimes(l *Loop, classes ...Class) []float64 {
 	var out []float64
 	for _, o := range l.outcomes {
 		if o.Answered && o.Kind != floodSource.Kind && slices.Contains(classes, o.Class) {
@@ -168,7 +170,7 @@
 	return out
 }
 
-func within(sorted []float64, limit float64) float64 {
+func shareWithin(sorted []float64, limit float64) float64 {
 	if len(sorted) == 0 {
 		return 0
 	}
--- a/lab/bench/workload.go
+++ b/lab/bench/workload.go
@@ -12,10 +12,10 @@
 	"github.com/auburnmoor/auburnmoor/peerpb"
 )
 
-// modelName is the one model that the emulated engines serve.
+// modelName is the only model that the emulated engines serve.
 const modelName = "model@v1"
 
-// Arrival is a request to come.
+// Arrival is a generated request and its arrival time.
 type Arrival struct {
 	At    time.Duration
 	Job   *peerpb.Job
@@ -25,10 +25,10 @@
 	chain []uint64
 }
 
-// Class groups requests by prompt length.
+// Class is a range of prompt lengths.
 type Class string
 
-// The classes and the prompt tokens at which they begin.
+// The classes, named by their range in prompt tokens.
 const (
 	Short  Class = "1k-8k"
 	Medium Class = "8k-32k"
@@ -37,7 +37,7 @@
 	Huge   Class = "480k-1M"
 )
 
-// Classes lists the classes in order.
+// Classes lists the classes by increasing prompt length.
 var Classes = []Class{Short, Medium, Large, Long, Huge}
 
 // classOf returns the class of a prompt length.
@@ -56,10 +56,12 @@
 	}
 }
 
-// IsLong reports whether a class is of the one in fifty over 100k tokens.
+// IsLong reports whether a class is above 100k tokens, as are 2% of the requests
+// of both mixes.
 func (c Class) IsLong() bool { return c == Long || c == Huge }
 
-// Source is one kind of request in a mix.
+// Source describes one kind of request; Part is its share of the mix, Min and
+// Max bound the prompt tokens.
 type Source struct {
 	Kind     string
 	Part     float64
@@ -70,7 +72,7 @@
 	Once     bool
 }
 
-// Mix is the traffic of a site.
+// Mix is the traffic of a site: its sources and the weights of its customers.
 type Mix struct {
 	Sources   []Source
 	Customers []int64
@@ -100,19 +102,19 @@
 	Customers: []int64{8, 8, 4, 2, 1, 1, 1, 1, 1, 1},
 }
 
-// decodeBatch is the number of streams assumed to share a step when capacity
-// is computed.
+// decodeBatch is the assumed number of streams per decode step in the capacity
+// estimate.
 const decodeBatch = 8
 
-// ServiceTime is the engine time that a request of this shape takes.
+// ServiceTime estimates the engine time of a request.
 func ServiceTime(a enginecore.Assumptions, prompt float64, output int64) time.Duration {
 	perToken := float64(a.PerPrefillToken) + float64(a.StepBase)/float64(a.ChunkTokens)
 	perOutput := float64(a.PerDecode) + float64(a.StepBase)/decodeBatch
 	return time.Duration(prompt*perToken + float64(output)*perOutput)
 }
 
-// Capacity is the rate of requests a second at which the engines are just
-// busy, ignoring cached prefixes.
+// Capacity is the rate in requests per second that fully utilizes the engines,
+// ignoring cached prefixes.
 func (m Mix) Capacity(a enginecore.Assumptions, engines int) float64 {
 	mean := 0.0
 	for _, s := range m.Sources {
@@ -123,8 +125,8 @@
 
 func logUniformMean(lo, hi float64) float64 { return (hi - lo) / math.Log(hi/lo) }
 
-// Generate draws the arrivals of duration at rate requests a second. Each
-// source has its own random sequence, so leaving one out does not change the
+// Generate draws Poisson arrivals over d at rate requests per second. Each
+// source has its own random sequence, so excluding one does not change the
 // others.
 func (m Mix) Generate(seed uint64, rate float64, d time.Duration, keep func(Source) bool) []Arrival {
 	var out []Arrival
@@ -145,17 +147,17 @@
 	return out
 }
 
-// sharedPrefix is the part of requests that begin with one of their customer's
-// common documents.
+// sharedPrefixShare is the share of requests that begin with one of their
+// customer's shared documents.
 const (
-	sharedPrefix   = 0.5
-	docsPerOwner   = 4
-	maxSharedBlock = 6
+	sharedPrefixShare = 0.5
+	docsPerCustomer   = 4
+	maxSharedBlocks   = 6
 )
 
 func (m Mix) draw(r *rand.Rand, s Source, source, n int, at time.Duration) Arrival {
 	prompt := int64(math.Exp(math.Log(s.Min) + r.Float64()*(math.Log(s.Max)-math.Log(s.Min))))
-	c := m.customer(r)
+	c := m.drawCustomer(r)
 	a := Arrival{At: at, Once: s.Once, Kind: s.Kind, Class: classOf(prompt)}
 	a.chain = drawChain(r, c, prompt, uint64(source)<<32|uint64(n))
 	a.Job = &peerpb.Job{
@@ -166,7 +168,7 @@
 	return a
 }
 
-func (m Mix) customer(r *rand.Rand) int {
+func (m Mix) drawCustomer(r *rand.Rand) int {
 	total := int64(0)
 	for _, w := range m.Customers {
 		total += w
@@ -180,13 +182,13 @@
 	return 0
 }
 
-// drawChain makes up the block hashes of a prompt.
+// drawChain generates the block hashes of a prompt.
 func drawChain(r *rand.Rand, customer int, prompt int64, id uint64) []uint64 {
 	chain := make([]uint64, prompt/prefix.TokensPerBlock)
 	shared := 0
-	doc := uint64(customer)<<8 | uint64(r.IntN(docsPerOwner))
-	if r.Float64() < sharedPrefix {
-		shared = min(1+int(doc%maxSharedBlock), len(chain))
+	doc := uint64(customer)<<8 | uint64(r.IntN(docsPerCustomer))
+	if r.Float64() < sharedPrefixShare {
+		shared = min(1+int(doc%maxSharedBlocks), len(chain))
 	}
 	for i := range chain {
 		if i < shared {
@@ -198,7 +200,7 @@
 	return chain
 }
 
-// engineRequest is what an engine gets for a start.
+// engineRequest builds the engine request for a start action.
 func (o *Outcome) engineRequest(a dispatch.Start, id string) enginecore.Request {
 	req := enginecore.Request{
 		ID: id, Attempt: a.Attempt, Priority: a.Priority,
