--- a/lab/soak/check.go
+++ b/lab/soak/check.go
@@ -15,63 +15,64 @@
 	"github.com/auburnmoor/auburnmoor/lab/standin/workerserver"
 )
 
-// Promise is what is checked.
+// Promise names a guarantee of the platform that a run checks.
 type Promise string
 
 // The promises.
 const (
-	// Whole: each caller gets the whole answer to its own request.
+	// Whole: each caller gets the complete answer to its own request.
 	Whole Promise = "whole"
-	// Once: a request that may not be repeated runs at most once.
+	// Once: a non-repeatable request runs at most once.
 	Once Promise = "once"
-	// NotRun: a refusal that says that the request did not run is true.
+	// NotRun: a request refused as not run has run on no server.
 	NotRun Promise = "not-run"
-	// InTime: admitted work finishes or fails in its time.
+	// InTime: an admitted request finishes or fails by its deadline.
 	InTime Promise = "in-time"
-	// Denied: nobody is told that there is no such route or key who uses one in force.
+	// Denied: a request with a valid route and key is never answered 404 or 401.
 	Denied Promise = "denied"
-	// InForce: an accepted configuration is in force within seconds.
+	// InForce: an accepted configuration takes effect within configDeadline.
 	InForce Promise = "in-force"
-	// NeverBack: an accepted configuration is never taken back.
+	// NeverBack: an instance never reverts to an older configuration.
 	NeverBack Promise = "never-back"
-	// Leaving: a leaving server gets no new work after seconds.
+	// Leaving: a leaving server gets no new work after leaveDeadline.
 	Leaving Promise = "leaving"
-	// Drained: a shutdown cuts nothing.
+	// Drained: a graceful shutdown breaks off no request.
 	Drained Promise = "drained"
-	// Contained: a request that crashes engines ends few of them.
+	// Contained: a request that crashes engines crashes only a few of them.
 	Contained Promise = "contained"
-	// Released: no engine memory is lost.
+	// Released: no engine memory stays reserved after the last request.
 	Released Promise = "released"
-	// Recovered: callers are served as before once troubles are over.
+	// Recovered: callers are served as before once the faults have ended.
 	Recovered Promise = "recovered"
-	// Bounded: memory and descriptors stay within the machine's.
+	// Bounded: memory and file descriptors stay within the machine's limits.
 	Bounded Promise = "bounded"
-	// Explained: each refused or failed request is in the logs.
+	// Explained: the logs name each refused or failed request.
 	Explained Promise = "explained"
 )
 
 // Bounds of the promises, as the platform states them for small sites.
 const (
-	// stable is the time without disturbance from which bounds hold.
-	stable = 3 * time.Second
-	// inForce is within which a configuration is in force, rollback after which its effect
-	// must be seen again.
-	inForce, rollback = 2 * time.Second, 250 * time.Millisecond
-	// drain is within which a leaving server gets no new work.
-	drain = 2 * time.Second
-	// late is by how much a final answer may be late.
-	late = 500 * time.Millisecond
-	// servesOn is how long an instance that was told to end takes new requests at least.
-	servesOn = 2 * time.Second
-	// judged is the end of the run in which callers must be served again, by this share.
-	judged, served = 3 * time.Second, 0.95
-	// mostCrashes is how many engines one request may end: three, and three retries more.
-	mostCrashes = 6
-	// released is within which memory must be free once nothing uses it.
-	released     = 10 * time.Second
-	releasedPoll = 50 * time.Millisecond
-	// Limits of the machine of an instance.
-	mostMemoryKB, mostFiles = 284 << 10, 4200
+	// settlingTime is the undisturbed time after which bounds apply.
+	settlingTime = 3 * time.Second
+	// configDeadline bounds the time until an accepted configuration takes effect.
+	// rollbackGrace is the time from the first served request on a route until a denial
+	// counts as a rollback.
+	configDeadline, rollbackGrace = 2 * time.Second, 250 * time.Millisecond
+	// leaveDeadline bounds the time that a leaving server may still get new work.
+	leaveDeadline = 2 * time.Second
+	// answerGrace is how far past its deadline a final answer may arrive.
+	answerGrace = 500 * time.Millisecond
+	// minAcceptAfterTerm is how long an instance accepts requests after SIGTERM at least.
+	minAcceptAfterTerm = 2 * time.Second
+	// In the recoveryWindow at the end of a run, minServedShare of requests must succeed.
+	recoveryWindow, minServedShare = 3 * time.Second, 0.95
+	// maxCrashes bounds the engines that one request may crash: three, plus three retries.
+	maxCrashes = 6
+	// releaseDeadline bounds the time until unused engine memory is released.
+	releaseDeadline     = 10 * time.Second
+	releasePollInterval = 50 * time.Millisecond
+	// Limits of the machine that an instance runs on.
+	maxMemoryKB, maxOpenFiles = 284 << 10, 4200
 )
 
 // Violation is a broken promise.
@@ -87,189 +88,190 @@
 	return fmt.Sprintf("%8.3fs %-10s %s", v.At.Seconds(), v.Promise, v.What)
 }
 
-// judge looks through what happened in a run.
-type judge struct {
-	site  *site
-	fleet *fleet
-	began time.Time
-	end   time.Time
-	got   []record
-	found []Violation
-	// machine knows when the machine of the run itself stood still.
-	machine *calm
+// checker checks the records of a run against the promises.
+type checker struct {
+	site         *site
+	fleet        *fleet
+	trafficStart time.Time
+	end          time.Time
+	records      []record
+	violations   []Violation
+	// hostStalls records when the host of the whole run had no processor time for it.
+	hostStalls *disturbanceLog
 }
 
-func (j *judge) violate(p Promise, at time.Time, format string, args ...any) {
-	j.found = append(j.found, Violation{p, at.Sub(j.began), fmt.Sprintf(format, args...)})
+func (c *checker) addViolation(p Promise, at time.Time, format string, args ...any) {
+	c.violations = append(c.violations, Violation{p, at.Sub(c.trafficStart), fmt.Sprintf(format, args...)})
 }
 
-func (j *judge) all() {
-	slices.SortFunc(j.got, func(a, b record) int { return a.sent.Compare(b.sent) })
-	runs := j.runs()
-	for _, r := range j.got {
-		j.whole(r)
-		j.once(r, runs[r.id])
-		j.inTime(r)
-		j.drained(r)
-		j.denied(r)
+func (c *checker) checkAll() {
+	slices.SortFunc(c.records, func(a, b record) int { return a.sent.Compare(b.sent) })
+	runs := c.runCounts()
+	for _, r := range c.records {
+		c.checkWhole(r)
+		c.checkOnce(r, runs[r.id])
+		c.checkInTime(r)
+		c.checkDrained(r)
+		c.checkDenied(r)
 	}
-	j.configuration()
-	j.leaving()
-	j.contained()
-	j.recovered()
-	j.explained()
+	c.checkConfiguration()
+	c.checkLeaving()
+	c.checkContained()
+	c.checkRecovered()
+	c.checkExplained()
 }
 
-// runs counts how often each request ran, over all servers.
-func (j *judge) runs() map[string]int {
+// runCounts returns how often each request ran, summed over all servers.
+func (c *checker) runCounts() map[string]int {
 	out := map[string]int{}
-	for _, v := range j.site.all() {
-		for _, id := range v.stand.RunIDs() {
-			out[id] += v.stand.Runs(id)
+	for _, v := range c.site.allServers() {
+		for _, id := range v.standin.RunIDs() {
+			out[id] += v.standin.Runs(id)
 		}
 	}
 	return out
 }
 
-func expected(r record) string {
-	if r.sort.promptTokens == 0 {
+func expectedBody(r record) string {
+	if r.kind.promptTokens == 0 {
 		return workerserver.Body(r.id)
 	}
 	var b strings.Builder
-	for n := 1; n <= events; n++ {
+	for n := 1; n <= eventCount; n++ {
 		b.WriteString(workerserver.Event(r.id, n))
 	}
 	return b.String()
 }
 
-func (j *judge) whole(r record) {
-	if r.Err == nil && r.Status == http.StatusOK && r.Body != expected(r) {
-		j.violate(Whole, r.sent, "%s at %s: %d bytes of %d, %.40q", r.id, r.at.name, len(r.Body), len(expected(r)), r.Body)
+func (c *checker) checkWhole(r record) {
+	if r.Err == nil && r.Status == http.StatusOK && r.Body != expectedBody(r) {
+		c.addViolation(Whole, r.sent, "%s at %s: got %d bytes, expected %d: %.40q", r.id, r.sentTo.name, len(r.Body), len(expectedBody(r)), r.Body)
 	}
 }
 
-func (j *judge) once(r record, runs int) {
-	if !r.sort.once {
+func (c *checker) checkOnce(r record, runs int) {
+	if !r.kind.atMostOnce {
 		return
 	}
 	if runs > 1 {
-		j.violate(Once, r.sent, "%s at %s ran %d times", r.id, r.at.name, runs)
+		c.addViolation(Once, r.sent, "%s at %s ran %d times", r.id, r.sentTo.name, runs)
 	}
 	if r.Err == nil && caller.NotRun(r.Status) && runs > 0 {
-		j.violate(NotRun, r.sent, "%s at %s got %d and ran", r.id, r.at.name, r.Status)
+		c.addViolation(NotRun, r.sent, "%s at %s was refused as not run with %d, but ran", r.id, r.sentTo.name, r.Status)
 	}
 }
 
-func (j *judge) inTime(r record) {
+func (c *checker) checkInTime(r record) {
 	limit := deadline
 	if r.probe >= 0 {
 		limit = probeTimeout
 	}
-	if took := r.done.Sub(r.sent); took > limit+late && r.at.calm.during(r.sent.Add(-stable), r.done) && j.machine.during(r.sent, r.done) {
-		j.violate(InTime, r.sent, "%s at %s took %s of %s, status %d, %v", r.id, r.at.name, took, limit, r.Status, r.Err)
+	if took := r.done.Sub(r.sent); took > limit+answerGrace && r.sentTo.disturbances.undisturbed(r.sent.Add(-settlingTime), r.done) && c.hostStalls.undisturbed(r.sent, r.done) {
+		c.addViolation(InTime, r.sent, "%s at %s took %s, limit %s, status %d, error %v", r.id, r.sentTo.name, took, limit, r.Status, r.Err)
 	}
 }
 
-// drained looks at requests that an instance was at, or took, when it was told to end.
-func (j *judge) drained(r record) {
-	told := r.at.toldOf[r.life]
-	if r.Err == nil || told.IsZero() || r.done.Before(told) || r.sent.After(told.Add(servesOn)) {
+// checkDrained checks requests that were in progress at SIGTERM or arrived soon after it.
+func (c *checker) checkDrained(r record) {
+	sigtermAt := r.sentTo.sigtermAtByLife[r.life]
+	if r.Err == nil || sigtermAt.IsZero() || r.done.Before(sigtermAt) || r.sent.After(sigtermAt.Add(minAcceptAfterTerm)) {
 		return
 	}
-	if r.at.calm.during(r.sent.Add(-stable), r.done) && j.serversCalm(r.sent.Add(-stable), r.done) {
-		j.violate(Drained, r.sent, "%s at %s, told to end at %.3fs: %v", r.id, r.at.name, told.Sub(j.began).Seconds(), r.Err)
+	if r.sentTo.disturbances.undisturbed(r.sent.Add(-settlingTime), r.done) && c.serversUndisturbed(r.sent.Add(-settlingTime), r.done) {
+		c.addViolation(Drained, r.sent, "%s at %s, SIGTERM at %.3fs: %v", r.id, r.sentTo.name, sigtermAt.Sub(c.trafficStart).Seconds(), r.Err)
 	}
 }
 
-func (j *judge) serversCalm(from, to time.Time) bool {
-	for _, v := range j.site.all() {
-		if !v.calm.during(from, to) {
+func (c *checker) serversUndisturbed(from, to time.Time) bool {
+	for _, v := range c.site.allServers() {
+		if !v.disturbances.undisturbed(from, to) {
 			return false
 		}
 	}
 	return true
 }
 
-// denied looks at routes that every configuration has.
-func (j *judge) denied(r record) {
+// checkDenied checks requests to the routes that every configuration contains.
+func (c *checker) checkDenied(r record) {
 	if r.probe < 0 && r.Err == nil && (r.Status == http.StatusNotFound || r.Status == http.StatusUnauthorized) {
-		j.violate(Denied, r.sent, "%s at %s got %d for %s", r.id, r.at.name, r.Status, r.sort.path)
+		c.addViolation(Denied, r.sent, "%s at %s got %d for %s", r.id, r.sentTo.name, r.Status, r.kind.path)
 	}
 }
 
-// configuration looks at the answers for routes that were added.
-func (j *judge) configuration() {
-	type life struct {
+// checkConfiguration checks the answers to probes of added routes.
+func (c *checker) checkConfiguration() {
+	type process struct {
 		at *instance
 		n  int
 	}
-	// seen is the newest route that a life served, and since when.
-	type seen struct {
+	// servedRoute is the newest route that a process served, and since when.
+	type servedRoute struct {
 		route int
 		since time.Time
 	}
-	newest := map[life]seen{}
-	for _, r := range j.got {
+	newest := map[process]servedRoute{}
+	for _, r := range c.records {
 		if r.probe < 0 || r.Err != nil {
 			continue
 		}
-		l := life{r.at, r.life}
+		proc := process{r.sentTo, r.life}
 		switch r.Status {
 		case http.StatusOK:
-			if s, known := newest[l]; !known || r.probe > s.route {
-				newest[l] = seen{r.probe, r.done}
+			if s, known := newest[proc]; !known || r.probe > s.route {
+				newest[proc] = servedRoute{r.probe, r.done}
 			}
 		case http.StatusNotFound, http.StatusUnauthorized:
-			if s, known := newest[l]; known && r.probe <= s.route && r.sent.After(s.since.Add(rollback)) {
-				j.violate(NeverBack, r.sent, "%s got %d for route %d, which it had served", r.at.name, r.Status, r.probe)
+			if s, known := newest[proc]; known && r.probe <= s.route && r.sent.After(s.since.Add(rollbackGrace)) {
+				c.addViolation(NeverBack, r.sent, "%s answered %d for route %d, which it had served before", r.sentTo.name, r.Status, r.probe)
 			}
-			acked := j.site.added[r.probe]
-			if r.sent.After(acked.Add(inForce)) && j.inTouch(r.at, r.sent) {
-				j.violate(InForce, r.sent, "%s got %d for route %d, acknowledged %.3fs before", r.at.name, r.Status, r.probe, r.sent.Sub(acked).Seconds())
+			acknowledged := c.site.addedAt[r.probe]
+			if r.sent.After(acknowledged.Add(configDeadline)) && c.boundsApply(r.sentTo, r.sent) {
+				c.addViolation(InForce, r.sent, "%s answered %d for route %d, acknowledged %.3fs before", r.sentTo.name, r.Status, r.probe, r.sent.Sub(acknowledged).Seconds())
 			}
 		}
 	}
 }
 
-// inTouch reports whether bounds hold for an instance at a time.
-func (j *judge) inTouch(in *instance, at time.Time) bool {
-	from := at.Add(-stable)
-	return j.site.calm.during(from, at) && in.calm.during(from, at) && in.planned.during(from, at) && j.machine.during(from, at)
+// boundsApply reports whether an instance and what it depends on were undisturbed for
+// settlingTime, so that time bounds apply to it.
+func (c *checker) boundsApply(in *instance, at time.Time) bool {
+	from := at.Add(-settlingTime)
+	return c.site.disturbances.undisturbed(from, at) && in.disturbances.undisturbed(from, at) && in.maintenance.undisturbed(from, at) && c.hostStalls.undisturbed(from, at)
 }
 
-func (j *judge) leaving() {
-	for _, v := range j.site.all() {
-		if v.left.IsZero() {
+func (c *checker) checkLeaving() {
+	for _, v := range c.site.allServers() {
+		if v.leftAt.IsZero() {
 			continue
 		}
-		for _, s := range v.stand.Seen() {
-			heldUp := !v.calm.during(s.At.Add(-stable), s.At)
-			if heldUp || !s.At.After(v.left.Add(drain)) || !j.site.calm.during(v.left.Add(-stable), s.At) || !j.allInTouch(s.At) {
+		for _, s := range v.standin.Seen() {
+			linkDisturbed := !v.disturbances.undisturbed(s.At.Add(-settlingTime), s.At)
+			if linkDisturbed || !s.At.After(v.leftAt.Add(leaveDeadline)) || !c.site.disturbances.undisturbed(v.leftAt.Add(-settlingTime), s.At) || !c.boundsApplyToAll(s.At) {
 				continue
 			}
-			j.violate(Leaving, s.At, "%s got %s %.3fs after it left", v.id, s.ID, s.At.Sub(v.left).Seconds())
+			c.addViolation(Leaving, s.At, "%s got request %s %.3fs after it began to leave", v.id, s.ID, s.At.Sub(v.leftAt).Seconds())
 		}
 	}
 }
 
-func (j *judge) allInTouch(at time.Time) bool {
-	return !slices.ContainsFunc(j.fleet.instances, func(in *instance) bool { return !j.inTouch(in, at) })
+func (c *checker) boundsApplyToAll(at time.Time) bool {
+	return !slices.ContainsFunc(c.fleet.instances, func(in *instance) bool { return !c.boundsApply(in, at) })
 }
 
-func (j *judge) contained() {
+func (c *checker) checkContained() {
 	crashes := 0
-	for _, v := range j.site.all() {
-		crashes += v.stand.Crashes()
+	for _, v := range c.site.allServers() {
+		crashes += v.standin.Crashes()
 	}
-	if crashes > mostCrashes {
-		j.violate(Contained, j.end, "one request ended %d engines", crashes)
+	if crashes > maxCrashes {
+		c.addViolation(Contained, c.end, "one request crashed %d engines", crashes)
 	}
 }
 
-func (j *judge) recovered() {
+func (c *checker) checkRecovered() {
 	all, good := 0, 0
-	for _, r := range j.got {
-		if r.probe >= 0 || r.sent.Before(j.end.Add(-judged)) {
+	for _, r := range c.records {
+		if r.probe >= 0 || r.sent.Before(c.end.Add(-recoveryWindow)) {
 			continue
 		}
 		all++
@@ -277,39 +279,39 @@
 			good++
 		}
 	}
-	if all == 0 || float64(good) < served*float64(all) {
-		j.violate(Recovered, j.end, "%d of %d requests of the last %s were served", good, all, judged)
+	if all == 0 || float64(good) < minServedShare*float64(all) {
+		c.addViolation(Recovered, c.end, "%d of %d requests of the last %s were served", good, all, recoveryWindow)
 	}
 }
 
-// released waits until no engine has memory set aside.
-func (j *judge) released() {
-	var kept int64
-	for until := time.Now().Add(released); time.Now().Before(until); time.Sleep(releasedPoll) {
-		kept = 0
-		for _, v := range j.site.all() {
-			kept += v.stand.Reserved()
+// checkReleased waits until no engine has memory reserved.
+func (c *checker) checkReleased() {
+	var reserved int64
+	for deadlineAt := time.Now().Add(releaseDeadline); time.Now().Before(deadlineAt); time.Sleep(releasePollInterval) {
+		reserved = 0
+		for _, v := range c.site.allServers() {
+			reserved += v.standin.Reserved()
 		}
-		if kept == 0 {
+		if reserved == 0 {
 			return
 		}
 	}
-	j.violate(Released, j.end, "%d tokens are set aside %s after the last request", kept, released)
+	c.addViolation(Released, c.end, "%d tokens are still reserved %s after the last request", reserved, releaseDeadline)
 }
 
-// bounded looks at the processes that run now.
-func (j *judge) bounded() error {
-	for _, in := range j.fleet.instances {
-		memory, err := residentKB(in.process())
+// checkBounded checks memory and descriptors of the running processes.
+func (c *checker) checkBounded() error {
+	for _, in := range c.fleet.instances {
+		memory, err := residentKB(in.pid())
 		if err != nil {
 			return err
 		}
-		files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", in.process()))
+		files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", in.pid()))
 		if err != nil {
 			return errors.Wrap(err, in.name)
 		}
-		if memory > mostMemoryKB || len(files) > mostFiles {
-			j.violate(Bounded, j.end, "%s: %d KB of memory, %d descriptors", in.name, memory, len(files))
+		if memory > maxMemoryKB || len(files) > maxOpenFiles {
+			c.addViolation(Bounded, c.end, "%s: %d KB of memory, %d descriptors", in.name, memory, len(files))
 		}
 	}
 	return nil
@@ -327,21 +329,22 @@
 			return kb, err
 		}
 	}
-	return 0, errors.New("memory: no line of it")
+	return 0, errors.New("memory: the process status has no VmRSS line")
 }
 
-// explained looks for the requests that an instance itself refused or failed in its log.
-func (j *judge) explained() {
-	for _, in := range j.fleet.instances {
-		raw, err := os.ReadFile(j.fleet.logOf(in))
+// checkExplained searches the log of each instance for the requests that the instance
+// itself refused or failed.
+func (c *checker) checkExplained() {
+	for _, in := range c.fleet.instances {
+		raw, err := os.ReadFile(c.fleet.logPath(in))
 		if err != nil {
-			j.violate(Explained, j.end, "%s: %v", in.name, err)
+			c.addViolation(Explained, c.end, "%s: %v", in.name, err)
 			continue
 		}
-		for _, r := range j.got {
-			own := r.Err == nil && r.Status >= http.StatusBadRequest && r.Seal == ""
-			if own && r.at == in && in.calm.during(r.sent.Add(-stable), r.done.Add(stable)) && !bytes.Contains(raw, []byte(`"`+r.id+`"`)) {
-				j.violate(Explained, r.sent, "%s got %d at %s, whose log does not name it", r.id, r.Status, in.name)
+		for _, r := range c.records {
+			refusedByInstance := r.Err == nil && r.Status >= http.StatusBadRequest && r.Seal == ""
+			if refusedByInstance && r.sentTo == in && in.disturbances.undisturbed(r.sent.Add(-settlingTime), r.done.Add(settlingTime)) && !bytes.Contains(raw, []byte(`"`+r.id+`"`)) {
+				c.addViolation(Explained, r.sent, "%s got %d at %s, whose log does not name it", r.id, r.Status, in.name)
 			}
 		}
 	}
--- a/lab/soak/fleet.go
+++ b/lab/soak/fleet.go
@@ -14,51 +14,51 @@
 	"github.com/cockroachdb/errors"
 )
 
-// mostInstances bounds the processes of a run.
-const mostInstances = 200
+// maxInstances bounds the processes of a run.
+const maxInstances = 200
 
-// backAfter is how long an instance that ended stays away.
-const backAfter = 500 * time.Millisecond
+// restartDelay is the time from the exit of an instance to its restart.
+const restartDelay = 500 * time.Millisecond
 
-// dataCentres is over how many data centres the instances are spread.
-const dataCentres = 3
+// dataCentreCount is the number of data centres that the instances are spread over.
+const dataCentreCount = 3
 
-// instance is one process of the program and its links.
+// instance is one instance of the program, restarted when its process exits.
 type instance struct {
 	name, dataCentre string
-	// caller, directory, ready, peer and admin are where it listens.
-	caller, directory, ready, peer, admin string
-	// front is where callers reach it, store the link by which it reaches the store.
-	front, store *proxy
+	// Listen addresses of the instance.
+	callerAddr, directoryAddr, readyAddr, peerAddr, adminAddr string
+	// callerProxy carries traffic from callers, storeProxy that to the store.
+	callerProxy, storeProxy *proxy
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
-	// life counts its starts.
+	// life counts the starts of the process.
 	life int
-	// told is when the present life was told to end, zero if it was not, toldOf that of
-	// each life.
-	told   time.Time
-	toldOf map[int]time.Time
-	// calm knows of disturbances, planned of shutdowns and reloads.
-	calm, planned calm
+	// sigtermAt is when the current process got SIGTERM, zero if it did not;
+	// sigtermAtByLife holds that time for each start.
+	sigtermAt       time.Time
+	sigtermAtByLife map[int]time.Time
+	// disturbances records faults, maintenance records shutdowns and reloads.
+	disturbances, maintenance disturbanceLog
 }
 
-// fleet is the processes of a run.
+// fleet holds the instances of a run.
 type fleet struct {
 	dir, bin  string
 	mutant    Mutant
 	instances []*instance
-	ended     sync.WaitGroup
+	processes sync.WaitGroup
 	closing   chan struct{}
-	// problem is why an instance could not be started again.
-	problem atomic.Pointer[error]
+	// restartErr is why an instance could not be restarted.
+	restartErr atomic.Pointer[error]
 }
 
-// firstPort is that of the first listener of a run; the others' follow.
+// firstPort is the port of the first listener; the other listeners use the ports after it.
 const firstPort = 20_000
 
-// loopback is an address of the loopback range for the processes of this run alone: runs
-// side by side and outgoing connections take no ports of each other there.
+// loopback returns a loopback address derived from the process ID, so that concurrent runs
+// and outgoing connections don't compete for ports.
 func loopback() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid/(250*250)%250, 1+pid/250%250, 1+pid%250)
@@ -68,16 +68,16 @@
 	f := &fleet{dir: o.Dir, bin: o.Binary, mutant: o.Mutant, closing: make(chan struct{})}
 	ip, port := loopback(), firstPort
 	for i := range n {
-		in := &instance{name: fmt.Sprintf("i%03d", i), dataCentre: fmt.Sprintf("dc-%d", i%dataCentres), toldOf: map[int]time.Time{}}
-		for _, addr := range []*string{&in.caller, &in.directory, &in.ready, &in.peer, &in.admin} {
+		in := &instance{name: fmt.Sprintf("i%03d", i), dataCentre: fmt.Sprintf("dc-%d", i%dataCentreCount), sigtermAtByLife: map[int]time.Time{}}
+		for _, addr := range []*string{&in.callerAddr, &in.directoryAddr, &in.readyAddr, &in.peerAddr, &in.adminAddr} {
 			*addr = fmt.Sprintf("%s:%d", ip, port)
 			port++
 		}
 		var err error
-		if in.store, err = newProxy(store); err != nil {
+		if in.storeProxy, err = newProxy(store); err != nil {
 			return nil, err
 		}
-		if in.front, err = newProxy(in.caller); err != nil {
+		if in.callerProxy, err = newProxy(in.callerAddr); err != nil {
 			return nil, err
 		}
 		f.instances = append(f.instances, in)
@@ -93,15 +93,15 @@
 	return f, nil
 }
 
-// seeds is how many instances the settings of each name.
-const seeds = 3
+// seedCount is the number of seed peers in the settings of each instance.
+const seedCount = 3
 
 func (f *fleet) configure(in *instance) error {
 	var peers []string
-	for _, o := range f.instances[:min(seeds, len(f.instances))] {
-		peers = append(peers, o.peer)
+	for _, o := range f.instances[:min(seedCount, len(f.instances))] {
+		peers = append(peers, o.peerAddr)
 	}
-	return os.WriteFile(f.settings(in), fmt.Appendf(nil, `[instance]
+	return os.WriteFile(f.settingsPath(in), fmt.Appendf(nil, `[instance]
 name = %q
 data_centre = %q
 region = "r"
@@ -134,23 +134,23 @@
 retry_window = "10s"
 [control.quarantine]
 off = %t
-`, in.name, in.dataCentre, in.caller, in.peer, in.admin, in.store.addr(), strings.Join(peers, ","), in.directory, in.ready, f.mutant == ForgetsCrashes), 0o600)
+`, in.name, in.dataCentre, in.callerAddr, in.peerAddr, in.adminAddr, in.storeProxy.addr(), strings.Join(peers, ","), in.directoryAddr, in.readyAddr, f.mutant == ForgetsCrashes), 0o600)
 }
 
-func (f *fleet) settings(in *instance) string { return filepath.Join(f.dir, in.name+".toml") }
+func (f *fleet) settingsPath(in *instance) string { return filepath.Join(f.dir, in.name+".toml") }
 
-// logOf is where the lives of an instance write their log.
-func (f *fleet) logOf(in *instance) string { return filepath.Join(f.dir, in.name+".log") }
+// logPath returns the log file shared by all starts of an instance.
+func (f *fleet) logPath(in *instance) string { return filepath.Join(f.dir, in.name+".log") }
 
-// start begins a new life of an instance, which begins again whenever it ends.
+// start starts the process of an instance and restarts it whenever it exits.
 func (f *fleet) start(in *instance) error {
-	log, err := os.OpenFile(f.logOf(in), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(f.logPath(in), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return errors.Wrap(err, "log")
 	}
-	cmd := exec.Command(f.bin, "serve", "--config", f.settings(in))
+	cmd := exec.Command(f.bin, "serve", "--config", f.settingsPath(in))
 	cmd.Stdout, cmd.Stderr = log, log
-	// No process is left behind where the soak itself is killed.
+	// The kernel kills the instances if the soak run itself is killed.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -160,28 +160,28 @@
 	if err := cmd.Start(); err != nil {
 		return errors.Wrap(err, in.name)
 	}
-	in.cmd, in.told = cmd, time.Time{}
+	in.cmd, in.sigtermAt = cmd, time.Time{}
 	in.life++
-	in.calm.strike()
-	f.ended.Add(1)
-	go f.await(in, cmd, log)
+	in.disturbances.addInstant()
+	f.processes.Add(1)
+	go f.restartOnExit(in, cmd, log)
 	return nil
 }
 
-func (f *fleet) await(in *instance, cmd *exec.Cmd, log *os.File) {
-	defer f.ended.Done()
+func (f *fleet) restartOnExit(in *instance, cmd *exec.Cmd, log *os.File) {
+	defer f.processes.Done()
 	_ = cmd.Wait()
 	_ = log.Close()
-	if _, told := in.now(); told.IsZero() {
-		in.calm.strike()
+	if _, sigtermAt := in.currentLife(); sigtermAt.IsZero() {
+		in.disturbances.addInstant()
 	} else {
-		in.planned.strike()
+		in.maintenance.addInstant()
 	}
 	select {
 	case <-f.closing:
-	case <-time.After(backAfter):
+	case <-time.After(restartDelay):
 		if err := f.start(in); err != nil {
-			f.problem.Store(&err)
+			f.restartErr.Store(&err)
 		}
 	}
 }
@@ -195,52 +195,52 @@
 	}
 }
 
-// signal sends a signal to the present life of an instance.
+// signal sends a signal to the current process and records the disturbance.
 func (in *instance) signal(s syscall.Signal) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	switch s {
 	case syscall.SIGTERM:
-		if in.told.IsZero() {
-			in.told = time.Now()
-			in.toldOf[in.life] = in.told
+		if in.sigtermAt.IsZero() {
+			in.sigtermAt = time.Now()
+			in.sigtermAtByLife[in.life] = in.sigtermAt
 		}
-		in.planned.strike()
+		in.maintenance.addInstant()
 	case syscall.SIGHUP:
-		in.planned.strike()
+		in.maintenance.addInstant()
 	case syscall.SIGSTOP:
-		in.calm.begin()
+		in.disturbances.begin()
 	case syscall.SIGCONT:
-		in.calm.end()
+		in.disturbances.end()
 	default:
-		in.calm.strike()
+		in.disturbances.addInstant()
 	}
-	// It may have ended meanwhile.
+	// The process may have exited already.
 	_ = in.cmd.Process.Signal(s)
 }
 
-// kill ends the present life of an instance as a mutant does, unseen by the checks.
+// kill kills the current process for a mutant, without recording a disturbance.
 func (in *instance) kill() {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	_ = in.cmd.Process.Kill()
 }
 
-// now returns the present life and when it was told to end.
-func (in *instance) now() (life int, told time.Time) {
+// currentLife returns the number of the current start and when it got SIGTERM.
+func (in *instance) currentLife() (life int, sigtermAt time.Time) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	return in.life, in.told
+	return in.life, in.sigtermAt
 }
 
-// process returns the id of the present life's process.
-func (in *instance) process() int {
+// pid returns the ID of the current process.
+func (in *instance) pid() int {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.cmd.Process.Pid
 }
 
-// close ends the processes that were started here.
+// close kills the processes that the fleet started and waits for their exit.
 func (f *fleet) close() {
 	close(f.closing)
 	for _, in := range f.instances {
@@ -249,9 +249,9 @@
 		_ = in.cmd.Process.Kill()
 		in.mu.Unlock()
 	}
-	f.ended.Wait()
+	f.processes.Wait()
 	for _, in := range f.instances {
-		in.front.close()
-		in.store.close()
+		in.callerProxy.close()
+		in.storeProxy.close()
 	}
 }
--- a/lab/soak/mutant.go
+++ b/lab/soak/mutant.go
@@ -7,44 +7,44 @@
 	"github.com/auburnmoor/auburnmoor/lab/standin/workerserver"
 )
 
-// Mutant is a promise that is broken on purpose, to prove that the checks see it.
+// Mutant is a deliberate defect that breaks a promise, to prove that the checks detect it.
 type Mutant string
 
 // The mutants.
 const (
-	// HalfAnswers has servers give half of the answer as if it were whole.
+	// HalfAnswers makes servers send half of an answer as if it were complete.
 	HalfAnswers Mutant = "half-answers"
-	// RunsDenied has servers run requests and say that they did not.
+	// RunsDenied makes servers run requests and report them as not run.
 	RunsDenied Mutant = "runs-denied"
-	// LateConfig has the store acknowledge a configuration and write it later.
+	// LateConfig makes the store acknowledge a configuration before it is written.
 	LateConfig Mutant = "late-config"
-	// DropsRoute has a changed configuration lack a route that callers use.
+	// DropsRoute removes a route that callers use from each changed configuration.
 	DropsRoute Mutant = "drops-route"
-	// KeepsEntry has the store acknowledge that a server leaves and not write it.
+	// KeepsEntry makes the store acknowledge a server's leaving without writing it.
 	KeepsEntry Mutant = "keeps-entry"
-	// KillsForTerm has instances killed where they are to be told to end.
+	// KillsForTerm kills instances instead of terminating them gracefully.
 	KillsForTerm Mutant = "kills-for-term"
-	// LateAnswers has the links of callers hold answers back.
+	// LateAnswers delays traffic between callers and instances.
 	LateAnswers Mutant = "late-answers"
-	// KeepsMemory has engines keep memory that was released.
+	// KeepsMemory makes engines keep released memory reserved.
 	KeepsMemory Mutant = "keeps-memory"
-	// ForgetsCrashes has instances run requests that crash engines as often as they come.
+	// ForgetsCrashes turns off the quarantine of requests that crash engines.
 	ForgetsCrashes Mutant = "forgets-crashes"
-	// StaysDown has the links to all servers silent to the end.
+	// StaysDown silences the links to all servers once the faults have ended.
 	StaysDown Mutant = "stays-down"
 )
 
-// Mutants are all of them.
+// Mutants lists all mutants.
 var Mutants = []Mutant{HalfAnswers, RunsDenied, LateConfig, DropsRoute, KeepsEntry, KillsForTerm, LateAnswers, KeepsMemory, ForgetsCrashes, StaysDown}
 
-// Known reports whether there is such a mutant.
+// Known reports whether m is one of Mutants.
 func (m Mutant) Known() bool { return slices.Contains(Mutants, m) }
 
-// mutantDelay is by how much a mutant is late: beyond every bound.
+// mutantDelay is the delay that late mutants add; it exceeds every time bound.
 const mutantDelay = 6 * time.Second
 
-// answers is how servers answer wrongly.
-func (m Mutant) answers() workerserver.Fault {
+// workerFault returns the fault that the mutant injects into every answer of a server.
+func (m Mutant) workerFault() workerserver.Fault {
 	switch m {
 	case HalfAnswers:
 		return workerserver.Half
--- a/lab/soak/proxy.go
+++ b/lab/soak/proxy.go
@@ -9,51 +9,52 @@
 	"github.com/cockroachdb/errors"
 )
 
-// proxy passes connections on to one address, and can harm them.
+// proxy forwards TCP connections to one address and can inject network faults.
 type proxy struct {
-	at   string
-	to   string
-	mu   sync.Mutex
-	lis  net.Listener
-	open map[net.Conn]net.Conn
-	// silent connections pass nothing on from then, delay holds each piece back.
+	listenAddr string
+	targetAddr string
+	mu         sync.Mutex
+	listener   net.Listener
+	conns      map[net.Conn]net.Conn
+	// silent stops forwarding on all connections, delay postpones each chunk.
 	silent atomic.Bool
 	delay  atomic.Int64
 }
 
-// pieceSize is the most that is passed on at once, in bytes.
-const pieceSize = 16 << 10
+// maxChunk bounds the bytes forwarded at once.
+const maxChunk = 16 << 10
 
-// silentPoll is how often a silent link looks whether it is open again.
-const silentPoll = 10 * time.Millisecond
+// silentPollInterval is how often a silenced connection checks whether to resume.
+const silentPollInterval = 10 * time.Millisecond
 
 func newProxy(to string) (*proxy, error) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Wrap(err, "proxy")
 	}
-	p := &proxy{at: lis.Addr().String(), to: to, lis: lis, open: map[net.Conn]net.Conn{}}
+	p := &proxy{listenAddr: lis.Addr().String(), targetAddr: to, listener: lis, conns: map[net.Conn]net.Conn{}}
 	go p.accept(lis)
 	return p, nil
 }
 
-func (p *proxy) addr() string { return p.at }
+func (p *proxy) addr() string { return p.listenAddr }
 
-// refuse has the proxy refuse connections, as the address of a process that ended does.
+// refuse closes the listener, so that connections are refused as after a process exit.
 func (p *proxy) refuse() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_ = p.lis.Close()
+	_ = p.listener.Close()
 }
 
-// listen ends that. An error of it shows as a server that is not back.
-func (p *proxy) listen() {
-	lis, err := net.Listen("tcp", p.at)
+// reopen listens again after refuse. On failure the server stays unreachable, which the
+// checks detect.
+func (p *proxy) reopen() {
+	lis, err := net.Listen("tcp", p.listenAddr)
 	if err != nil {
 		return
 	}
 	p.mu.Lock()
-	p.lis = lis
+	p.listener = lis
 	p.mu.Unlock()
 	go p.accept(lis)
 }
@@ -68,19 +69,19 @@
 	}
 }
 
-func (p *proxy) serve(near net.Conn) {
-	defer near.Close()
-	p.wait()
-	far, err := net.Dial("tcp", p.to)
+func (p *proxy) serve(client net.Conn) {
+	defer client.Close()
+	p.waitToForward()
+	target, err := net.Dial("tcp", p.targetAddr)
 	if err != nil {
 		return
 	}
-	defer far.Close()
+	defer target.Close()
 	p.mu.Lock()
-	p.open[near] = far
+	p.conns[client] = target
 	p.mu.Unlock()
 	done := make(chan struct{}, 2)
-	for _, pair := range [][2]net.Conn{{near, far}, {far, near}} {
+	for _, pair := range [][2]net.Conn{{client, target}, {target, client}} {
 		go func() {
 			p.copy(pair[1], pair[0])
 			done <- struct{}{}
@@ -88,16 +89,16 @@
 	}
 	<-done
 	p.mu.Lock()
-	delete(p.open, near)
+	delete(p.conns, client)
 	p.mu.Unlock()
 }
 
-// copy passes on what comes until one end closes.
+// copy forwards data until either side closes.
 func (p *proxy) copy(to, from net.Conn) {
-	buf := make([]byte, pieceSize)
+	buf := make([]byte, maxChunk)
 	for {
 		n, err := from.Read(buf)
-		p.wait()
+		p.waitToForward()
 		if n > 0 {
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				return
@@ -109,20 +110,20 @@
 	}
 }
 
-// wait holds back what a silent or slow link does not pass on yet.
-func (p *proxy) wait() {
+// waitToForward applies the delay, then blocks while the proxy is silent.
+func (p *proxy) waitToForward() {
 	time.Sleep(time.Duration(p.delay.Load()))
 	for p.silent.Load() {
-		time.Sleep(silentPoll)
+		time.Sleep(silentPollInterval)
 	}
 }
 
-// reset breaks all connections, without the close that tells the other end of an end.
+// reset aborts all connections with RST instead of an orderly close.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for near, far := range p.open {
-		for _, c := range []net.Conn{near, far} {
+	for client, target := range p.conns {
+		for _, c := range []net.Conn{client, target} {
 			if t, ok := c.(*net.TCPConn); ok {
 				_ = t.SetLinger(0)
 			}
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -15,54 +15,54 @@
 	"github.com/auburnmoor/auburnmoor/lab/standin/workerserver"
 )
 
-// Options say how a plan is played.
+// Options configure a run.
 type Options struct {
-	// Binary is the program.
+	// Binary is the path of the program to run.
 	Binary string
-	// Dir is where settings and logs go.
+	// Dir is the directory for settings and logs.
 	Dir    string
 	Mutant Mutant
 }
 
-// Result is what a run showed.
+// Result summarizes a run.
 type Result struct {
 	Requests, Served int
 	Violations       []Violation
 }
 
-// Broke reports whether a promise was broken.
+// Broke reports whether the run violated a promise.
 func (r Result) Broke(p Promise) bool {
 	return slices.ContainsFunc(r.Violations, func(v Violation) bool { return v.Promise == p })
 }
 
 // Times of a run.
 const (
-	// startWithin is how long the fleet gets until all instances are ready.
-	startWithin = 30 * time.Second
-	startPoll   = 50 * time.Millisecond
-	// slow is the delay of a slow store, slowLink that of a slow link to a server.
-	slow, slowLink = 250 * time.Millisecond, 40 * time.Millisecond
-	// copyEvery is how often the store is copied, so that it may come back older.
-	copyEvery = 2 * time.Second
-	// changesInARow and between them.
-	changesInARow, betweenChanges = 5, 100 * time.Millisecond
+	// startTimeout bounds the time until all instances are ready.
+	startTimeout      = 30 * time.Second
+	startPollInterval = 50 * time.Millisecond
+	// slowStoreDelay is the delay of a slow store, slowLinkDelay that of a slow server link.
+	slowStoreDelay, slowLinkDelay = 250 * time.Millisecond, 40 * time.Millisecond
+	// copyInterval is how often the store is copied for StoreOlder to restore.
+	copyInterval = 2 * time.Second
+	// Changes adds changesInARow routes, changePause apart.
+	changesInARow, changePause = 5, 100 * time.Millisecond
 )
 
-// run is a plan in play.
+// run is the execution of a plan.
 type run struct {
-	plan    Plan
-	options Options
-	site    *site
-	fleet   *fleet
-	traffic *traffic
-	faults  sync.WaitGroup
-	machine calm
-	mu      sync.Mutex
-	// problem is of the stand-ins, and says nothing of the program.
-	problem error
+	plan       Plan
+	options    Options
+	site       *site
+	fleet      *fleet
+	traffic    *traffic
+	faults     sync.WaitGroup
+	hostStalls disturbanceLog
+	mu         sync.Mutex
+	// standinErr is a failure of the stand-ins, not of the program under test.
+	standinErr error
 }
 
-// Play plays a plan and returns which promises it broke.
+// Play executes a plan and returns the promises that were violated.
 func Play(ctx context.Context, p Plan, o Options) (Result, error) {
 	if err := p.check(); err != nil {
 		return Result{}, err
@@ -91,13 +91,13 @@
 func (r *run) awaitReady(ctx context.Context) error {
 	c := caller.New()
 	defer c.Close()
-	until := time.Now().Add(startWithin)
+	deadlineAt := time.Now().Add(startTimeout)
 	for _, in := range r.fleet.instances {
-		for !c.Ready(ctx, in.ready) {
-			if ctx.Err() != nil || time.Now().After(until) {
-				return errors.Newf("%s was not ready within %s", in.name, startWithin)
+		for !c.Ready(ctx, in.readyAddr) {
+			if ctx.Err() != nil || time.Now().After(deadlineAt) {
+				return errors.Newf("%s was not ready within %s", in.name, startTimeout)
 			}
-			time.Sleep(startPoll)
+			time.Sleep(startPollInterval)
 		}
 	}
 	return nil
@@ -106,34 +106,34 @@
 func (r *run) play(ctx context.Context, stop func()) (Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	done := make(chan struct{})
 	go func() {
 		r.traffic.run(ctx)
 		close(done)
 	}()
-	go r.copies(ctx)
-	go r.watchMachine(ctx)
-	go r.fleet.watchStarved(ctx)
+	go r.copyStore(ctx)
+	go r.watchHostStalls(ctx)
+	go r.fleet.watchStarvation(ctx)
 	if r.options.Mutant == LateAnswers {
 		for _, in := range r.fleet.instances {
-			in.front.delay.Store(int64(mutantDelay))
+			in.callerProxy.delay.Store(int64(mutantDelay))
 		}
 	}
 	for _, f := range r.plan.Faults {
-		time.Sleep(time.Until(began.Add(f.At.Std())))
+		time.Sleep(time.Until(start.Add(f.At.Std())))
 		if ctx.Err() != nil {
 			break
 		}
-		r.faults.Go(func() { r.strike(f) })
+		r.faults.Go(func() { r.injectFault(f) })
 	}
 	r.faults.Wait()
 	if r.options.Mutant == StaysDown {
-		r.servers(Fault{Share: 1}, func(v *server) { v.link.silent.Store(true) }, nil)
+		r.disturbServers(Fault{Share: 1}, func(v *server) { v.link.silent.Store(true) }, nil)
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(time.Until(began.Add(r.plan.Length.Std()))):
+	case <-time.After(time.Until(start.Add(r.plan.Length.Std()))):
 	}
 	interrupted := ctx.Err()
 	end := time.Now()
@@ -142,22 +142,22 @@
 	if interrupted != nil {
 		return Result{}, errors.Wrapf(interrupted, "seed %d", r.plan.Seed)
 	}
-	j := &judge{site: r.site, fleet: r.fleet, began: began, end: end, got: r.traffic.got, machine: &r.machine}
-	j.released()
-	if err := j.bounded(); err != nil {
+	c := &checker{site: r.site, fleet: r.fleet, trafficStart: start, end: end, records: r.traffic.records, hostStalls: &r.hostStalls}
+	c.checkReleased()
+	if err := c.checkBounded(); err != nil {
 		return Result{}, err
 	}
 	stop()
-	j.all()
-	if p := r.fleet.problem.Load(); p != nil {
+	c.checkAll()
+	if p := r.fleet.restartErr.Load(); p != nil {
 		return Result{}, *p
 	}
-	return j.result(), r.problem
+	return c.result(), r.standinErr
 }
 
-func (j *judge) result() Result {
-	out := Result{Requests: len(j.got), Violations: j.found}
-	for _, r := range j.got {
+func (c *checker) result() Result {
+	out := Result{Requests: len(c.records), Violations: c.violations}
+	for _, r := range c.records {
 		if r.Err == nil && r.Status < 300 {
 			out.Served++
 		}
@@ -166,81 +166,81 @@
 	return out
 }
 
-func (r *run) copies(ctx context.Context) {
+func (r *run) copyStore(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.site.store.Copy()
-		time.Sleep(copyEvery)
+		time.Sleep(copyInterval)
 	}
 }
 
-// A timer that is late by more than stalled shows that the machine had no processor time
-// for the run, whose bounds say nothing then.
+// A timer that is late by more than stallThreshold shows that the host had no processor
+// time for the run; time bounds are not checked then.
 const (
-	tick    = 20 * time.Millisecond
-	stalled = 150 * time.Millisecond
+	tickInterval   = 20 * time.Millisecond
+	stallThreshold = 150 * time.Millisecond
 )
 
-// watchMachine notes when the machine stood still.
-func (r *run) watchMachine(ctx context.Context) {
+// watchHostStalls records when the host had no processor time for the run.
+func (r *run) watchHostStalls(ctx context.Context) {
 	for ctx.Err() == nil {
-		began := time.Now()
-		time.Sleep(tick)
-		if now := time.Now(); now.Sub(began) > tick+stalled {
-			r.machine.note(span{began, now})
+		start := time.Now()
+		time.Sleep(tickInterval)
+		if now := time.Now(); now.Sub(start) > tickInterval+stallThreshold {
+			r.hostStalls.addSpan(span{start, now})
 		}
 	}
 }
 
-// strike plays one fault to its end.
-func (r *run) strike(f Fault) {
+// injectFault injects one fault and returns when it has ended.
+func (r *run) injectFault(f Fault) {
 	switch f.Kind {
 	case Kill, Term, Reload:
 		r.signal(f)
 	case Freeze:
-		r.instances(f, func(in *instance) { in.signal(syscall.SIGSTOP) }, func(in *instance) { in.signal(syscall.SIGCONT) })
+		r.disturbInstances(f, func(in *instance) { in.signal(syscall.SIGSTOP) }, func(in *instance) { in.signal(syscall.SIGCONT) })
 	case StoreDown:
-		r.store(f, storeserver.Faults{Down: true})
+		r.injectStoreFault(f, storeserver.Faults{Down: true})
 	case StoreSilent:
-		r.store(f, storeserver.Faults{Silent: true})
+		r.injectStoreFault(f, storeserver.Faults{Silent: true})
 	case StoreSlow:
-		r.store(f, storeserver.Faults{DelayMS: slow.Milliseconds()})
+		r.injectStoreFault(f, storeserver.Faults{DelayMS: slowStoreDelay.Milliseconds()})
 	case StoreForgets:
-		r.site.forget()
+		r.site.dropHistory()
 	case StoreOlder:
-		r.site.older()
+		r.site.restoreCopy()
 	case CutStore:
-		r.instances(f, func(in *instance) { in.calm.begin(); in.store.silent.Store(true) }, func(in *instance) { in.store.silent.Store(false); in.calm.end() })
+		r.disturbInstances(f, func(in *instance) { in.disturbances.begin(); in.storeProxy.silent.Store(true) }, func(in *instance) { in.storeProxy.silent.Store(false); in.disturbances.end() })
 	case ResetStore:
-		r.instances(f, func(in *instance) { in.calm.strike(); in.store.reset() }, nil)
+		r.disturbInstances(f, func(in *instance) { in.disturbances.addInstant(); in.storeProxy.reset() }, nil)
 	case ResetCallers:
-		r.instances(f, func(in *instance) { in.calm.strike(); in.front.reset() }, nil)
+		r.disturbInstances(f, func(in *instance) { in.disturbances.addInstant(); in.callerProxy.reset() }, nil)
 	case CutServer:
-		r.servers(f, func(v *server) { v.link.silent.Store(true) }, func(v *server) { v.link.silent.Store(false) })
+		r.disturbServers(f, func(v *server) { v.link.silent.Store(true) }, func(v *server) { v.link.silent.Store(false) })
 	case SlowServer:
-		r.servers(f, func(v *server) { v.link.delay.Store(int64(slowLink)) }, func(v *server) { v.link.delay.Store(0) })
+		r.disturbServers(f, func(v *server) { v.link.delay.Store(int64(slowLinkDelay)) }, func(v *server) { v.link.delay.Store(0) })
 	case ResetServer:
-		r.servers(f, func(v *server) { v.link.reset() }, nil)
+		r.disturbServers(f, func(v *server) { v.link.reset() }, nil)
 	case Misanswer:
-		r.servers(f, func(v *server) {
-			v.stand.Inject(workerserver.Shed, workerserver.Cut, workerserver.Lost, workerserver.Failed, workerserver.Extra, workerserver.Garbage)
-		}, func(v *server) { v.stand.ClearFaults() })
+		r.disturbServers(f, func(v *server) {
+			v.standin.Inject(workerserver.Shed, workerserver.Cut, workerserver.Lost, workerserver.Failed, workerserver.Extra, workerserver.Garbage)
+		}, func(v *server) { v.standin.ClearFaults() })
 	case Deadly:
-		r.deadly(f)
+		r.crashEngines(f)
 	case Replace:
-		r.replace(f)
+		r.replaceServers(f)
 	case Change:
-		r.site.change()
+		r.site.addRoute()
 	case Changes:
 		for range changesInARow {
-			r.site.change()
-			time.Sleep(betweenChanges)
+			r.site.addRoute()
+			time.Sleep(changePause)
 		}
 	}
 }
 
 func (r *run) signal(f Fault) {
 	sig := map[Kind]syscall.Signal{Kill: syscall.SIGKILL, Term: syscall.SIGTERM, Reload: syscall.SIGHUP}[f.Kind]
-	r.instances(f, func(in *instance) {
+	r.disturbInstances(f, func(in *instance) {
 		in.signal(sig)
 		if sig == syscall.SIGTERM && r.options.Mutant == KillsForTerm {
 			in.kill()
@@ -248,65 +248,65 @@
 	}, nil)
 }
 
-func (r *run) store(f Fault, faults storeserver.Faults) {
-	end := r.site.suffer(faults)
+func (r *run) injectStoreFault(f Fault, faults storeserver.Faults) {
+	end := r.site.beginFault(faults)
 	time.Sleep(f.For.Std())
 	end()
 }
 
-// instances strikes some instances, and ends that after a while.
-func (r *run) instances(f Fault, begin, end func(*instance)) {
-	struck := f.picked(len(r.fleet.instances))
-	for _, i := range struck {
+// disturbInstances calls begin for the targets of a fault, and end once it is over.
+func (r *run) disturbInstances(f Fault, begin, end func(*instance)) {
+	targets := f.targets(len(r.fleet.instances))
+	for _, i := range targets {
 		begin(r.fleet.instances[i])
 	}
 	if end == nil {
 		return
 	}
 	time.Sleep(f.For.Std())
-	for _, i := range struck {
+	for _, i := range targets {
 		end(r.fleet.instances[i])
 	}
 }
 
-// servers strikes some backend servers, and ends that after a while.
-func (r *run) servers(f Fault, begin, end func(*server)) {
-	all := r.site.all()
-	struck := f.picked(len(all))
-	for _, i := range struck {
-		all[i].calm.begin()
+// disturbServers does the same for backend servers and records the disturbance.
+func (r *run) disturbServers(f Fault, begin, end func(*server)) {
+	all := r.site.allServers()
+	targets := f.targets(len(all))
+	for _, i := range targets {
+		all[i].disturbances.begin()
 		begin(all[i])
 	}
 	if end != nil {
 		time.Sleep(f.For.Std())
 	}
-	for _, i := range struck {
+	for _, i := range targets {
 		if end != nil {
 			end(all[i])
 		}
-		all[i].calm.end()
+		all[i].disturbances.end()
 	}
 }
 
-// deadly lasts until the engines that it ends are back.
-func (r *run) deadly(f Fault) {
-	all := r.site.all()
+// crashEngines injects a Deadly fault and returns when the crashed engines are back.
+func (r *run) crashEngines(f Fault) {
+	all := r.site.allServers()
 	for _, v := range all {
-		v.calm.begin()
+		v.disturbances.begin()
 	}
-	r.traffic.deadly(f)
-	time.Sleep(crashedFor)
+	r.traffic.repeatDeadly(f)
+	time.Sleep(crashDuration)
 	for _, v := range all {
-		v.calm.end()
+		v.disturbances.end()
 	}
 }
 
-func (r *run) replace(f Fault) {
-	all := r.site.all()
-	for _, i := range f.picked(len(all)) {
-		if err := r.site.replace(all[i]); err != nil {
+func (r *run) replaceServers(f Fault) {
+	all := r.site.allServers()
+	for _, i := range f.targets(len(all)) {
+		if err := r.site.replaceServer(all[i]); err != nil {
 			r.mu.Lock()
-			r.problem = errors.CombineErrors(r.problem, err)
+			r.standinErr = errors.CombineErrors(r.standinErr, err)
 			r.mu.Unlock()
 		}
 	}
--- a/lab/soak/site.go
+++ b/lab/soak/site.go
@@ -9,17 +9,17 @@
 	"github.com/auburnmoor/auburnmoor/lab/standin/workerserver"
 )
 
-// Sizes of the stand-ins behind the fleet.
+// Sizes of the stand-in backend servers.
 const (
-	engines, plainServers = 5, 4
-	slots                 = 8
-	// engineMemory holds a usual prompt and not a deep one, in tokens.
+	engineCount, plainServerCount = 5, 4
+	slotsPerServer                = 8
+	// engineMemory, in tokens, has room for a normal prompt but not for a long one.
 	engineMemory = 100_000
-	events       = 8
+	eventCount   = 8
 	eventPause   = 15 * time.Millisecond
 )
 
-// Names of the configuration.
+// Values in the configuration of the store.
 const (
 	host, key              = "h.example", "k1"
 	modelService           = "model"
@@ -29,37 +29,37 @@
 	printPath, addedPrefix = "/print/", "/added-"
 )
 
-// deadlyBody crashes the engine that runs it, with all else that it runs, for crashedFor.
+// A request with deadlyBody crashes its engine, and all that runs on it, for crashDuration.
 const (
-	deadlyBody = "deadly"
-	crashedFor = 1500 * time.Millisecond
+	deadlyBody    = "deadly"
+	crashDuration = 1500 * time.Millisecond
 )
 
-// server is a backend server and the link to it.
+// server is a stand-in backend server and the proxy in front of it.
 type server struct {
 	id, service, dataCentre string
-	stand                   *workerserver.Server
+	standin                 *workerserver.Server
 	link                    *proxy
-	calm                    calm
-	// left is when the store acknowledged that it leaves, zero if it did not.
-	left time.Time
+	disturbances            disturbanceLog
+	// leftAt is when the store acknowledged that the server leaves, zero before.
+	leftAt time.Time
 }
 
-// site is what stands around the fleet: the store, the backend servers and the operator.
+// site is the environment of the fleet: the store, the backend servers and the operator.
 type site struct {
-	store  *storeserver.Server
-	calm   calm
-	mutant Mutant
+	store        *storeserver.Server
+	disturbances disturbanceLog
+	mutant       Mutant
 
-	mu      sync.Mutex
-	servers []*server
-	made    int
-	conf    storeserver.Site
-	// added is when the store acknowledged each added route.
-	added []time.Time
-	// faults are those in progress, queue the writes that wait for their end.
-	faults []storeserver.Faults
-	queue  []func()
+	mu         sync.Mutex
+	servers    []*server
+	created    int
+	siteConfig storeserver.Site
+	// addedAt holds when the store acknowledged each added route.
+	addedAt []time.Time
+	// faults are the store faults in progress, queuedWrites wait for their end.
+	faults       []storeserver.Faults
+	queuedWrites []func()
 }
 
 func newSite(m Mutant) (*site, error) {
@@ -67,17 +67,17 @@
 	if err := s.store.Start(); err != nil {
 		return nil, err
 	}
-	s.conf = storeserver.Site{Version: 1, Models: []string{modelService}, Plain: []string{plainService}, EngineMemory: engineMemory, Keys: []string{key}}
-	s.conf.Routes = []storeserver.Route{
+	s.siteConfig = storeserver.Site{Version: 1, Models: []string{modelService}, Plain: []string{plainService}, EngineMemory: engineMemory, Keys: []string{key}}
+	s.siteConfig.Routes = []storeserver.Route{
 		{Name: "ask", Host: host, Prefix: askPath, Service: modelService, Kind: "streaming", TimeoutMS: routeTimeoutMS},
 		{Name: "look", Host: host, Prefix: lookPath, Service: plainService, Kind: "safe", TimeoutMS: routeTimeoutMS},
 		{Name: "print", Host: host, Prefix: printPath, Service: plainService, Kind: "unsafe", TimeoutMS: routeTimeoutMS},
 	}
-	if err := s.store.PutSite(s.conf); err != nil {
+	if err := s.store.PutSite(s.siteConfig); err != nil {
 		return nil, err
 	}
-	for i := range engines + plainServers {
-		if err := s.addServer(map[bool]string{true: modelService, false: plainService}[i < engines]); err != nil {
+	for i := range engineCount + plainServerCount {
+		if err := s.addServer(map[bool]string{true: modelService, false: plainService}[i < engineCount]); err != nil {
 			return nil, err
 		}
 	}
@@ -87,50 +87,51 @@
 func (s *site) addServer(service string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v := &server{id: fmt.Sprintf("s%03d", s.made), service: service, dataCentre: fmt.Sprintf("dc-%d", s.made%dataCentres)}
-	s.made++
-	cfg := workerserver.Config{ID: v.id, Addr: "127.0.0.1:0", Always: s.mutant.answers()}
+	v := &server{id: fmt.Sprintf("s%03d", s.created), service: service, dataCentre: fmt.Sprintf("dc-%d", s.created%dataCentreCount)}
+	s.created++
+	cfg := workerserver.Config{ID: v.id, Addr: "127.0.0.1:0", Always: s.mutant.workerFault()}
 	if service == modelService {
-		cfg.Events, cfg.EventPause, cfg.Memory, cfg.KeepReserved = events, eventPause, engineMemory, s.mutant == KeepsMemory
-		cfg.CrashOn, cfg.BackAfter = deadlyBody, crashedFor
-		cfg.OnCrash, cfg.OnBack = func() { v.link.refuse() }, func() { v.link.listen() }
+		cfg.Events, cfg.EventPause, cfg.Memory, cfg.KeepReserved = eventCount, eventPause, engineMemory, s.mutant == KeepsMemory
+		cfg.CrashOn, cfg.BackAfter = deadlyBody, crashDuration
+		cfg.OnCrash, cfg.OnBack = func() { v.link.refuse() }, func() { v.link.reopen() }
 	}
-	v.stand = workerserver.New(cfg)
-	if err := v.stand.Start(); err != nil {
+	v.standin = workerserver.New(cfg)
+	if err := v.standin.Start(); err != nil {
 		return err
 	}
 	var err error
-	if v.link, err = newProxy(v.stand.Addr()); err != nil {
+	if v.link, err = newProxy(v.standin.Addr()); err != nil {
 		return err
 	}
 	s.servers = append(s.servers, v)
-	s.write(func() { s.announce(v) })
+	s.writeOrQueue(func() { s.announce(v) })
 	return nil
 }
 
-// announce writes the entry of a server. An error of the stand-in is a defect of the test.
+// announce writes the entry of a server to the store. It panics on an error, which is a
+// defect of the test.
 func (s *site) announce(v *server) {
-	if err := s.store.PutEntry(storeserver.Entry{ID: v.id, Service: v.service, Addr: v.link.addr(), DataCentre: v.dataCentre, Slots: slots, Leaving: !v.left.IsZero()}); err != nil {
+	if err := s.store.PutEntry(storeserver.Entry{ID: v.id, Service: v.service, Addr: v.link.addr(), DataCentre: v.dataCentre, Slots: slotsPerServer, Leaving: !v.leftAt.IsZero()}); err != nil {
 		panic(err)
 	}
 }
 
-// write does a write, or queues it while the store is away; s.mu is held.
-func (s *site) write(do func()) {
+// writeOrQueue runs a write, or queues it while the store has a fault. It needs s.mu held.
+func (s *site) writeOrQueue(do func()) {
 	if len(s.faults) > 0 {
-		s.queue = append(s.queue, do)
+		s.queuedWrites = append(s.queuedWrites, do)
 		return
 	}
 	do()
 }
 
-// suffer begins a fault of the store and returns what ends it.
-func (s *site) suffer(f storeserver.Faults) (end func()) {
-	s.calm.begin()
+// beginFault injects a fault into the store and returns the function that ends it.
+func (s *site) beginFault(f storeserver.Faults) (end func()) {
+	s.disturbances.begin()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = append(s.faults, f)
-	s.apply()
+	s.applyFaults()
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -140,20 +141,20 @@
 				break
 			}
 		}
-		s.apply()
-		s.calm.end()
+		s.applyFaults()
+		s.disturbances.end()
 		if len(s.faults) > 0 {
 			return
 		}
-		for _, do := range s.queue {
+		for _, do := range s.queuedWrites {
 			do()
 		}
-		s.queue = nil
+		s.queuedWrites = nil
 	}
 }
 
-// apply sets the sum of the faults in progress.
-func (s *site) apply() {
+// applyFaults sets the combination of the faults in progress on the store.
+func (s *site) applyFaults() {
 	var sum storeserver.Faults
 	for _, f := range s.faults {
 		sum.Down = sum.Down || f.Down
@@ -163,32 +164,32 @@
 	s.store.SetFaults(sum)
 }
 
-// forget drops the history of the store.
-func (s *site) forget() {
-	s.calm.strike()
+// dropHistory makes the store drop its change history.
+func (s *site) dropHistory() {
+	s.disturbances.addInstant()
 	s.store.SetFaults(storeserver.Faults{ForgetHistory: true})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.apply()
+	s.applyFaults()
 }
 
-// writersReturn is when those who wrote to the store write again after it went back.
-const writersReturn = 500 * time.Millisecond
+// rewriteDelay is the time from a restore of the store until its writers write again.
+const rewriteDelay = 500 * time.Millisecond
 
-// older has the store come back from its copy; its writers write again.
-func (s *site) older() {
-	s.calm.begin()
-	defer s.calm.end()
+// restoreCopy restores the last copy of the store, then writes the current state again.
+func (s *site) restoreCopy() {
+	s.disturbances.begin()
+	defer s.disturbances.end()
 	s.store.Restore()
-	time.Sleep(writersReturn)
+	time.Sleep(rewriteDelay)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.write(func() {
-		if err := s.store.PutSite(s.conf); err != nil {
+	s.writeOrQueue(func() {
+		if err := s.store.PutSite(s.siteConfig); err != nil {
 			panic(err)
 		}
 		for _, v := range s.servers {
-			if v.left.IsZero() {
+			if v.leftAt.IsZero() {
 				s.announce(v)
 			} else {
 				s.store.RemoveEntry(v.id)
@@ -197,18 +198,18 @@
 	})
 }
 
-// change adds a route. The operator has the word of the store when it is written.
-func (s *site) change() {
+// addRoute adds a route and records when the store acknowledged it.
+func (s *site) addRoute() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.write(func() {
-		s.conf.Version += 2
-		n := len(s.added)
-		s.conf.Routes = append(s.conf.Routes, storeserver.Route{
-			Name: fmt.Sprint("added-", n), Host: host, Prefix: addedPath(n), Service: plainService, Kind: "safe", TimeoutMS: routeTimeoutMS,
+	s.writeOrQueue(func() {
+		s.siteConfig.Version += 2
+		n := len(s.addedAt)
+		s.siteConfig.Routes = append(s.siteConfig.Routes, storeserver.Route{
+			Name: fmt.Sprint("added-", n), Host: host, Prefix: routePath(n), Service: plainService, Kind: "safe", TimeoutMS: routeTimeoutMS,
 		})
-		s.added = append(s.added, time.Now())
-		conf := s.conf
+		s.addedAt = append(s.addedAt, time.Now())
+		conf := s.siteConfig
 		if s.mutant == DropsRoute {
 			conf.Routes = conf.Routes[1:]
 		}
@@ -225,32 +226,32 @@
 	})
 }
 
-func addedPath(n int) string { return fmt.Sprintf("%s%d/", addedPrefix, n) }
+func routePath(n int) string { return fmt.Sprintf("%s%d/", addedPrefix, n) }
 
-// newest returns the number of routes that were added.
-func (s *site) newest() int {
+// routeCount returns the number of routes that were added.
+func (s *site) routeCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.added)
+	return len(s.addedAt)
 }
 
-// goneAfter is how long a server serves on once it said that it leaves.
-const goneAfter = 6 * time.Second
+// removalDelay is the time from the leaving of a server to the removal of its entry.
+const removalDelay = 6 * time.Second
 
-// replace has a server leave and another come.
-func (s *site) replace(v *server) error {
+// replaceServer makes a server leave and adds a new one of the same service.
+func (s *site) replaceServer(v *server) error {
 	s.mu.Lock()
-	s.write(func() {
-		if !v.left.IsZero() {
+	s.writeOrQueue(func() {
+		if !v.leftAt.IsZero() {
 			return
 		}
-		v.left = time.Now()
+		v.leftAt = time.Now()
 		if s.mutant != KeepsEntry {
 			s.announce(v)
-			time.AfterFunc(goneAfter, func() {
+			time.AfterFunc(removalDelay, func() {
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				s.write(func() { s.store.RemoveEntry(v.id) })
+				s.writeOrQueue(func() { s.store.RemoveEntry(v.id) })
 			})
 		}
 	})
@@ -258,8 +259,8 @@
 	return s.addServer(v.service)
 }
 
-// all returns the servers so far.
-func (s *site) all() []*server {
+// allServers returns all servers, including those that left.
+func (s *site) allServers() []*server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]*server(nil), s.servers...)
@@ -267,8 +268,8 @@
 
 func (s *site) close() {
 	s.store.Close()
-	for _, v := range s.all() {
+	for _, v := range s.allServers() {
 		v.link.close()
-		v.stand.Close()
+		v.standin.Close()
 	}
 }
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -26,30 +26,30 @@
 }
 
 var _ = Describe("a plan", func() {
-	It("is the same for a seed, and another for another", func() {
+	It("is the same for equal seeds and differs between seeds", func() {
 		Expect(draw(7)).To(Equal(draw(7)))
 		Expect(draw(7)).NotTo(Equal(draw(8)))
 	})
 
-	It("comes out of its file as it was", func() {
+	It("survives encoding and parsing unchanged", func() {
 		raw, err := draw(7).Format()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(soak.ParsePlan(raw)).To(Equal(draw(7)))
 	})
 
-	It("loses just the fault that is left out", func() {
+	It("loses only the removed fault", func() {
 		p := draw(7)
-		less := p.Without(0)
-		Expect(less.Faults).To(Equal(p.Faults[1:]))
+		reduced := p.Without(0)
+		Expect(reduced.Faults).To(Equal(p.Faults[1:]))
 		Expect(p).To(Equal(draw(7)))
 	})
 
-	DescribeTable("is refused", func(raw, why string) {
+	DescribeTable("is rejected", func(raw, message string) {
 		_, err := soak.ParsePlan([]byte(raw))
-		Expect(err).To(MatchError(ContainSubstring(why)))
+		Expect(err).To(MatchError(ContainSubstring(message)))
 	},
 		Entry("without instances", `length = "30s"`, "instances"),
-		Entry("with too many", "instances = 1000\nlength = \"30s\"", "instances"),
+		Entry("with too many instances", "instances = 1000\nlength = \"30s\"", "instances"),
 		Entry("when it is too short", "instances = 3\nlength = \"1s\"", "length"),
 		Entry("with an unknown field", "instances = 3\nlength = \"30s\"\nspeed = 2", "plan"),
 		Entry("with an unknown kind", "instances = 3\nlength = \"30s\"\n[[fault]]\nkind = \"flood\"", "kind"),
@@ -76,7 +76,7 @@
 		Expect(r.Served).To(BeNumerically(">", 500))
 	})
 
-	It("keeps all promises under each plan that a check once failed", func() {
+	It("keeps all promises under each regression plan", func() {
 		plans, err := filepath.Glob("regressions/*.toml")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(plans).NotTo(BeEmpty())
@@ -89,7 +89,7 @@
 		}
 	})
 
-	It("shows a configuration that comes into force too late", func() {
+	It("detects a configuration that takes effect too late", func() {
 		Expect(play(draw(3), soak.LateConfig).Broke(soak.InForce)).To(BeTrue())
 	})
 })
--- a/lab/soak/starved.go
+++ b/lab/soak/starved.go
@@ -8,20 +8,21 @@
 	"time"
 )
 
-// The kernel tells how long each thread that could run had to wait for a processor. A
-// process whose thread waited for nearly all of a sample was not slow by itself: its
-// bounds say nothing then.
+// The kernel counts how long each runnable thread waits for a processor. If a thread waited
+// for nearly a whole sample interval, the host slowed the process down, and time bounds are
+// not checked for it.
 const (
-	sampleEvery = 100 * time.Millisecond
-	starvedFor  = 80 * time.Millisecond
+	sampleInterval      = 100 * time.Millisecond
+	starvationThreshold = 80 * time.Millisecond
 )
 
-// waits are the times that the threads of a process waited so far, by thread.
-type waits map[string]time.Duration
+// runQueueWaits holds the total time that each thread of a process waited for a processor,
+// by the path of its schedstat file.
+type runQueueWaits map[string]time.Duration
 
-// waitsOf reads them. A process that has just ended has none.
-func waitsOf(pid int) waits {
-	out := waits{}
+// readRunQueueWaits returns an empty result for a process that has just exited.
+func readRunQueueWaits(pid int) runQueueWaits {
+	out := runQueueWaits{}
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil {
 		return out
@@ -39,26 +40,26 @@
 	return out
 }
 
-// since is the longest that one thread waited after an earlier sample.
-func (w waits) since(before waits) (longest time.Duration) {
+// maxIncrease returns the longest wait of a single thread since an earlier sample.
+func (w runQueueWaits) maxIncrease(before runQueueWaits) (longest time.Duration) {
 	for thread, waited := range w {
-		if was, known := before[thread]; known {
-			longest = max(longest, waited-was)
+		if earlier, known := before[thread]; known {
+			longest = max(longest, waited-earlier)
 		}
 	}
 	return longest
 }
 
-// watchStarved notes as disturbances when instances had no processor.
-func (f *fleet) watchStarved(ctx context.Context) {
-	last, at := map[*instance]waits{}, time.Now()
+// watchStarvation records as a disturbance when an instance got no processor time.
+func (f *fleet) watchStarvation(ctx context.Context) {
+	last, at := map[*instance]runQueueWaits{}, time.Now()
 	for ctx.Err() == nil {
-		time.Sleep(sampleEvery)
+		time.Sleep(sampleInterval)
 		now := time.Now()
 		for _, in := range f.instances {
-			w := waitsOf(in.process())
-			if w.since(last[in]) >= starvedFor {
-				in.calm.note(span{at, now})
+			w := readRunQueueWaits(in.pid())
+			if w.maxIncrease(last[in]) >= starvationThreshold {
+				in.disturbances.addSpan(span{at, now})
 			}
 			last[in] = w
 		}
--- a/lab/soak/traffic.go
+++ b/lab/soak/traffic.go
@@ -13,177 +13,179 @@
 
 // Traffic of a run.
 const (
-	callers  = 8
-	deadline = 5 * time.Second
-	// patience is what a caller waits beyond its deadline for a final answer.
-	patience = 3 * time.Second
-	// keepAddresses is how long callers use the addresses that they were told.
-	keepAddresses = time.Second
-	// pause is the longest time between two requests of a caller.
-	pause = 60 * time.Millisecond
-	// probeEvery is how often each instance is asked which configuration is in force.
-	probeEvery = 100 * time.Millisecond
-	// probeTimeout bounds such a question.
+	callerCount = 8
+	deadline    = 5 * time.Second
+	// answerPatience is how long a caller waits past its deadline for a final answer.
+	answerPatience = 3 * time.Second
+	// addressTTL is how long callers use resolved addresses.
+	addressTTL = time.Second
+	// maxPause bounds the time between two requests of a caller.
+	maxPause = 60 * time.Millisecond
+	// probeInterval is how often each instance is probed for an added route.
+	probeInterval = 100 * time.Millisecond
+	// probeTimeout bounds a probe and an address lookup.
 	probeTimeout = time.Second
-	// Lengths of prompts in tokens; deep ones need two engines.
-	usualPrompt, deepPrompt = 900, 150_000
+	// Prompt lengths in tokens; a long prompt needs two engines.
+	normalPrompt, longPrompt = 900, 150_000
 )
 
-// sort is a sort of request.
-type sort struct {
+// requestKind is a kind of request and its part of the traffic.
+type requestKind struct {
 	path         string
 	promptTokens int
-	// once marks requests that run at most once.
-	once  bool
-	share int
+	// atMostOnce marks non-repeatable requests.
+	atMostOnce bool
+	percent    int
 }
 
-// sorts are what callers send, with shares of a hundred.
-var sorts = []sort{
-	{path: askPath, promptTokens: usualPrompt, share: 45},
-	{path: askPath, promptTokens: deepPrompt, share: 5},
-	{path: lookPath, share: 25},
-	{path: printPath, once: true, share: 25},
+// requestKinds are the requests that callers send.
+var requestKinds = []requestKind{
+	{path: askPath, promptTokens: normalPrompt, percent: 45},
+	{path: askPath, promptTokens: longPrompt, percent: 5},
+	{path: lookPath, percent: 25},
+	{path: printPath, atMostOnce: true, percent: 25},
 }
 
-// record is one request and what became of it.
+// record is one request and its answer.
 type record struct {
 	id   string
-	sort sort
-	// probe is the number of the added route that was asked for, or -1.
-	probe int
-	at    *instance
-	// life is that of the instance when it was sent.
+	kind requestKind
+	// probe is the index of the added route that was probed, or -1.
+	probe  int
+	sentTo *instance
+	// life is the instance's start count when the request was sent.
 	life int
 	sent time.Time
 	done time.Time
 	caller.Answer
 }
 
-// traffic is what callers send and get.
+// traffic generates the requests of a run and records their answers.
 type traffic struct {
-	site  *site
-	fleet *fleet
-	seed  uint64
-	sent  atomic.Int64
-	mu    sync.Mutex
-	got   []record
+	site    *site
+	fleet   *fleet
+	seed    uint64
+	sent    atomic.Int64
+	mu      sync.Mutex
+	records []record
 }
 
 func (t *traffic) run(ctx context.Context) {
 	var wg sync.WaitGroup
-	for i := range callers {
-		wg.Go(func() { t.call(ctx, i) })
+	for i := range callerCount {
+		wg.Go(func() { t.runCaller(ctx, i) })
 	}
 	for _, in := range t.fleet.instances {
-		wg.Go(func() { t.probe(ctx, in) })
+		wg.Go(func() { t.probeRoutes(ctx, in) })
 	}
 	wg.Wait()
 }
 
-func pick(r *rand.Rand) sort {
+func pickKind(r *rand.Rand) requestKind {
 	n := r.IntN(100)
-	for _, s := range sorts {
-		if n -= s.share; n < 0 {
+	for _, s := range requestKinds {
+		if n -= s.percent; n < 0 {
 			return s
 		}
 	}
-	return sorts[0]
+	return requestKinds[0]
 }
 
-// call is one caller: it keeps its connections and asks for addresses as they are told to.
-func (t *traffic) call(ctx context.Context, i int) {
+// runCaller sends the requests of one caller, which reuses its connections and resolves
+// addresses anew after addressTTL.
+func (t *traffic) runCaller(ctx context.Context, i int) {
 	r := rand.New(rand.NewPCG(t.seed, uint64(i)+10))
 	c := caller.New()
 	defer c.Close()
 	var addrs []string
-	var until time.Time
+	var expiry time.Time
 	for ctx.Err() == nil {
-		if time.Now().After(until) {
-			if told := t.addresses(ctx, c, r); len(told) > 0 {
-				addrs, until = told, time.Now().Add(keepAddresses)
+		if time.Now().After(expiry) {
+			if resolved := t.resolve(ctx, c, r); len(resolved) > 0 {
+				addrs, expiry = resolved, time.Now().Add(addressTTL)
 			}
 		}
-		if in := t.instanceOf(addrs, r); in != nil {
-			t.send(ctx, c, in, pick(r), -1)
+		if in := t.pickInstance(addrs, r); in != nil {
+			t.send(ctx, c, in, pickKind(r), -1)
 		}
-		time.Sleep(time.Duration(r.Int64N(int64(pause))))
+		time.Sleep(time.Duration(r.Int64N(int64(maxPause))))
 	}
 }
 
-func (t *traffic) addresses(ctx context.Context, c *caller.Caller, r *rand.Rand) []string {
+func (t *traffic) resolve(ctx context.Context, c *caller.Caller, r *rand.Rand) []string {
 	in := t.fleet.instances[r.IntN(len(t.fleet.instances))]
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	// A directory that does not answer is one of several.
-	addrs, _ := c.Addresses(ctx, in.directory, host, in.dataCentre)
+	// An error is ignored: the next lookup picks another instance.
+	addrs, _ := c.Addresses(ctx, in.directoryAddr, host, in.dataCentre)
 	return addrs
 }
 
-func (t *traffic) instanceOf(addrs []string, r *rand.Rand) *instance {
+func (t *traffic) pickInstance(addrs []string, r *rand.Rand) *instance {
 	if len(addrs) == 0 {
 		return nil
 	}
 	addr := addrs[r.IntN(len(addrs))]
 	for _, in := range t.fleet.instances {
-		if in.caller == addr {
+		if in.callerAddr == addr {
 			return in
 		}
 	}
 	return nil
 }
 
-// probe asks one instance for routes that were added.
-func (t *traffic) probe(ctx context.Context, in *instance) {
+// probeRoutes sends requests for added routes to one instance.
+func (t *traffic) probeRoutes(ctx context.Context, in *instance) {
 	r := rand.New(rand.NewPCG(t.seed, 5))
 	c := caller.New()
 	defer c.Close()
 	for ctx.Err() == nil {
-		if n := t.site.newest(); n > 0 {
+		if n := t.site.routeCount(); n > 0 {
 			k := n - 1
 			if r.IntN(3) == 0 {
 				k = r.IntN(n)
 			}
-			t.send(ctx, c, in, sort{path: addedPath(k)}, k)
+			t.send(ctx, c, in, requestKind{path: routePath(k)}, k)
 		}
-		time.Sleep(probeEvery)
+		time.Sleep(probeInterval)
 	}
 }
 
-func (t *traffic) send(ctx context.Context, c *caller.Caller, in *instance, s sort, probe int) {
+func (t *traffic) send(ctx context.Context, c *caller.Caller, in *instance, s requestKind, probe int) {
 	n := t.sent.Add(1)
-	rec := record{id: fmt.Sprintf("q%d-%d", t.seed, n), sort: s, probe: probe, at: in}
-	rec.life, _ = in.now()
+	rec := record{id: fmt.Sprintf("q%d-%d", t.seed, n), kind: s, probe: probe, sentTo: in}
+	rec.life, _ = in.currentLife()
 	limit := deadline
 	if probe >= 0 {
 		limit = probeTimeout
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), limit+patience)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), limit+answerPatience)
 	defer cancel()
 	rec.sent = time.Now()
-	rec.Answer = c.Send(ctx, in.front.addr(), caller.Request{
+	rec.Answer = c.Send(ctx, in.callerProxy.addr(), caller.Request{
 		ID: rec.id, Host: host, Path: fmt.Sprint(s.path, n), Key: key, Body: rec.id, PromptTokens: s.promptTokens, Deadline: limit,
 	})
 	rec.done = time.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.got = append(t.got, rec)
+	t.records = append(t.records, rec)
 }
 
-// deadlyPause is the time between two tries of a request that crashes engines.
-const deadlyPause = 100 * time.Millisecond
+// deadlyInterval is the time between two attempts of a request that crashes engines.
+const deadlyInterval = 100 * time.Millisecond
 
-// deadly repeats one request that crashes engines, at any instance, for a while.
-func (t *traffic) deadly(f Fault) {
+// repeatDeadly sends a request that crashes engines to random instances until the fault
+// ends.
+func (t *traffic) repeatDeadly(f Fault) {
 	r := rand.New(rand.NewPCG(f.Pick, 6))
 	c := caller.New()
 	defer c.Close()
-	for until := time.Now().Add(f.For.Std()); time.Now().Before(until); time.Sleep(deadlyPause) {
+	for deadlineAt := time.Now().Add(f.For.Std()); time.Now().Before(deadlineAt); time.Sleep(deadlyInterval) {
 		ctx, cancel := context.WithTimeout(context.Background(), deadline)
 		in := t.fleet.instances[r.IntN(len(t.fleet.instances))]
-		c.Send(ctx, in.front.addr(), caller.Request{
+		c.Send(ctx, in.callerProxy.addr(), caller.Request{
 			ID: fmt.Sprintf("d%d-%d", t.seed, t.sent.Add(1)), Host: host, Path: askPath + "deadly", Key: key, Body: deadlyBody,
-			PromptTokens: usualPrompt, Deadline: deadline,
+			PromptTokens: normalPrompt, Deadline: deadline,
 		})
 		cancel()
 	}
