--- a/lab/standin/storeserver/site.go
+++ b/lab/standin/storeserver/site.go
@@ -4,11 +4,11 @@
 type Site struct {
 	Version int
 	Routes  []Route
-	// Models and Plain are the names of the services of either sort.
+	// Models and Plain name the model services and the plain services.
 	Models, Plain []string
-	// EngineMemory is that of one engine, in tokens.
+	// EngineMemory is the KV memory of one engine, in tokens.
 	EngineMemory int
-	// Keys are those of the one customer.
+	// Keys are the API keys of the only customer.
 	Keys []string
 }
 
@@ -17,11 +17,11 @@
 	Name, Host, Prefix, Service string
 	// Kind is "safe", "unsafe" or "streaming".
 	Kind string
-	// TimeoutMS is the longest time that a request is kept waiting.
+	// TimeoutMS is the timeout of a request.
 	TimeoutMS int
 }
 
-// PutSite writes a configuration.
+// PutSite writes a configuration to the store.
 func (s *Server) PutSite(c Site) error {
 	var routes, services []any
 	for _, r := range c.Routes {
@@ -46,7 +46,7 @@
 	})
 }
 
-// Entry is what a backend server writes of itself.
+// Entry is the entry by which a backend server registers itself.
 type Entry struct {
 	ID, Service, Addr, DataCentre string
 	Slots                         int
--- a/lab/standin/storeserver/storeserver.go
+++ b/lab/standin/storeserver/storeserver.go
@@ -1,7 +1,7 @@
 // Package storeserver stands in for the users' platform's metadata store:
 // objects by kind and name, one revision counter, lists, watches with a bounded
-// history, and conditional writes. It can be down, silent or slow, lose answers
-// after a write, drop its history, and come back from an older copy of itself.
+// history, and conditional writes. It can be down, silent or slow, lose the
+// replies to writes, drop its history, and be restored from an older backup.
 package storeserver
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/labstack/echo/v4"
 )
 
-// Metadata is kept beside an object's content.
+// Metadata holds an object's name, revisions and deletion state.
 type Metadata struct {
 	Name       string   `json:"name"`
 	Revision   int64    `json:"revision"`
@@ -36,35 +36,35 @@
 	Status   json.RawMessage `json:"status,omitempty"`
 }
 
-// Event is a change of one object.
+// Event is a change to one object.
 type Event struct {
 	Deleted bool   `json:"deleted"`
 	Object  Object `json:"object"`
 	kind    string
 }
 
-// Faults are what the store can suffer.
+// Faults are the faults the store can inject.
 type Faults struct {
-	// Down answers 503.
+	// Down answers every call with 503.
 	Down bool `json:"down"`
 	// Silent accepts calls and never answers.
 	Silent bool `json:"silent"`
-	// Mute has watches that meet a change hear nothing of it, and never end.
+	// Mute keeps a watch that has events to report open without ever answering it.
 	Mute bool `json:"mute"`
-	// LoseReplies drops the answers of the next writes after they took effect.
+	// LoseReplies drops the replies to this many writes after they took effect.
 	LoseReplies int `json:"loseReplies"`
-	// DelayMS slows every call.
+	// DelayMS delays every call.
 	DelayMS int64 `json:"delayMs"`
-	// ForgetHistory drops what happened so far, once.
+	// ForgetHistory drops the event history once.
 	ForgetHistory bool `json:"forgetHistory"`
-	// NoEra leaves the era out of the answers.
+	// NoEra omits the era from the answers.
 	NoEra bool `json:"noEra"`
 }
 
-// hdrEra tells in each answer how often the store came back from a copy.
-const hdrEra = "Store-Era"
+// headerEra carries the era, which grows with each restore, in every answer.
+const headerEra = "Store-Era"
 
-// backup is a copy of the content.
+// backup is a copy of the store's objects and history.
 type backup struct {
 	objects  map[string]map[string]Object
 	revision int64
@@ -72,7 +72,7 @@
 	oldest   int64
 }
 
-// historySize bounds the events that a watch can go back to.
+// historySize bounds the past events that a watch can start from.
 const historySize = 4096
 
 // Server is the store on one address.
@@ -113,7 +113,7 @@
 	e.HideBanner, e.HidePort = true, true
 	e.POST("/faults", s.setFaults)
 	e.GET("/counts", s.getCounts)
-	o := e.Group("/objects", s.suffer)
+	o := e.Group("/objects", s.injectFaults)
 	o.GET("/:kind", s.list)
 	o.GET("/:kind/:name", s.get)
 	o.POST("/:kind", s.create)
@@ -138,7 +138,7 @@
 	s.noEra.Store(f.NoEra)
 	if f.ForgetHistory {
 		s.history, s.oldest = nil, s.revision+1
-		s.announce()
+		s.notifyWatchers()
 	}
 }
 
@@ -157,13 +157,13 @@
 	return c.JSON(http.StatusOK, s.counts)
 }
 
-func (s *Server) suffer(next echo.HandlerFunc) echo.HandlerFunc {
+func (s *Server) injectFaults(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		s.mu.Lock()
 		f := s.faults
 		s.counts[c.Request().Method+" "+c.Param("kind")]++
 		s.mu.Unlock()
-		c.Response().Before(func() { s.tellEra(c.Response().Header()) })
+		c.Response().Before(func() { s.setEraHeader(c.Response().Header()) })
 		time.Sleep(time.Duration(f.DelayMS) * time.Millisecond)
 		switch {
 		case f.Silent:
@@ -176,32 +176,32 @@
 	}
 }
 
-// tellEra names the era unless that of the answer's content is named already.
-func (s *Server) tellEra(h http.Header) {
-	if h.Get(hdrEra) == "" && !s.noEra.Load() {
-		h.Set(hdrEra, strconv.FormatUint(s.era.Load(), 10))
+// setEraHeader sets the era header unless the handler set it together with the content.
+func (s *Server) setEraHeader(h http.Header) {
+	if h.Get(headerEra) == "" && !s.noEra.Load() {
+		h.Set(headerEra, strconv.FormatUint(s.era.Load(), 10))
 	}
 }
 
-// Copy keeps a copy of the content.
+// Copy takes a backup.
 func (s *Server) Copy() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.backup = backup{objects: clone(s.objects), revision: s.revision, history: slices.Clone(s.history), oldest: s.oldest}
+	s.backup = backup{objects: cloneObjects(s.objects), revision: s.revision, history: slices.Clone(s.history), oldest: s.oldest}
 }
 
-// Restore brings the copy back and begins a new era. What was written since is gone, and
-// its revisions are given out again.
+// Restore restores the backup and begins a new era. Later writes are lost, and their
+// revisions are assigned again.
 func (s *Server) Restore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := s.backup
-	s.objects, s.revision, s.history, s.oldest = clone(b.objects), b.revision, slices.Clone(b.history), b.oldest
+	s.objects, s.revision, s.history, s.oldest = cloneObjects(b.objects), b.revision, slices.Clone(b.history), b.oldest
 	s.era.Add(1)
-	s.announce()
+	s.notifyWatchers()
 }
 
-func clone(objects map[string]map[string]Object) map[string]map[string]Object {
+func cloneObjects(objects map[string]map[string]Object) map[string]map[string]Object {
 	out := make(map[string]map[string]Object, len(objects))
 	for kind, byName := range objects {
 		out[kind] = maps.Clone(byName)
@@ -209,7 +209,7 @@
 	return out
 }
 
-// Calls counts the calls to a kind that the store answered or turned away.
+// Calls counts the calls for a kind, failed ones included.
 func (s *Server) Calls(kind string) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -227,7 +227,7 @@
 	StoreRevision int64    `json:"storeRevision"`
 }
 
-// pageSize is small, so that tests with few objects read several pages.
+// pageSize is small so that tests with few objects read several pages.
 const pageSize = 5
 
 func (s *Server) list(c echo.Context) error {
@@ -264,8 +264,8 @@
 	defer timeout.Stop()
 	for {
 		s.mu.Lock()
-		out, gone := s.since(kind, from)
-		s.tellEra(c.Response().Header())
+		out, gone := s.eventsSince(kind, from)
+		s.setEraHeader(c.Response().Header())
 		changed, mute := s.changed, s.faults.Mute
 		s.mu.Unlock()
 		if mute && len(out.Events) > 0 {
@@ -278,13 +278,13 @@
 		if len(out.Events) > 0 {
 			return c.JSON(http.StatusOK, out)
 		}
-		c.Response().Header().Del(hdrEra)
+		c.Response().Header().Del(headerEra)
 		select {
 		case <-changed:
 		case <-timeout.C:
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if out, gone = s.since(kind, from); gone {
+			if out, gone = s.eventsSince(kind, from); gone {
 				return c.NoContent(http.StatusGone)
 			}
 			return c.JSON(http.StatusOK, out)
@@ -294,7 +294,7 @@
 	}
 }
 
-func (s *Server) since(kind string, from int64) (out events, gone bool) {
+func (s *Server) eventsSince(kind string, from int64) (out events, gone bool) {
 	if from+1 < s.oldest || from > s.revision {
 		return out, true
 	}
@@ -328,7 +328,7 @@
 		return c.JSON(http.StatusConflict, old)
 	}
 	o.Metadata.CreateRev = s.revision + 1
-	return s.answer(c, s.store(c.Param("kind"), o))
+	return s.reply(c, s.putObject(c.Param("kind"), o))
 }
 
 func (s *Server) replace(c echo.Context) error {
@@ -347,10 +347,10 @@
 		return c.JSON(http.StatusConflict, old)
 	}
 	if string(old.Spec) == string(o.Spec) {
-		return s.answer(c, old)
+		return s.reply(c, old)
 	}
 	old.Spec = o.Spec
-	return s.answer(c, s.store(kind, old))
+	return s.reply(c, s.putObject(kind, old))
 }
 
 func (s *Server) remove(c echo.Context) error {
@@ -361,11 +361,11 @@
 	if !ok {
 		return c.NoContent(http.StatusNotFound)
 	}
-	s.drop(kind, o)
-	return s.answer(c, o)
+	s.deleteObject(kind, o)
+	return s.reply(c, o)
 }
 
-// Put writes an object without a call.
+// Put writes an object without an HTTP call; no fault applies.
 func (s *Server) Put(kind, name string, spec any) error {
 	raw, err := json.Marshal(spec)
 	if err != nil {
@@ -378,20 +378,20 @@
 		o = Object{Metadata: Metadata{Name: name, CreateRev: s.revision + 1}}
 	}
 	o.Spec = raw
-	s.store(kind, o)
+	s.putObject(kind, o)
 	return nil
 }
 
-// Delete removes an object without a call.
+// Delete removes an object without an HTTP call; no fault applies.
 func (s *Server) Delete(kind, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if o, ok := s.objects[kind][name]; ok {
-		s.drop(kind, o)
+		s.deleteObject(kind, o)
 	}
 }
 
-func (s *Server) store(kind string, o Object) Object {
+func (s *Server) putObject(kind string, o Object) Object {
 	s.revision++
 	o.Metadata.Revision = s.revision
 	if s.objects[kind] == nil {
@@ -402,7 +402,7 @@
 	return o
 }
 
-func (s *Server) drop(kind string, o Object) {
+func (s *Server) deleteObject(kind string, o Object) {
 	s.revision++
 	o.Metadata.Revision = s.revision
 	delete(s.objects[kind], o.Metadata.Name)
@@ -415,16 +415,17 @@
 		s.history = s.history[1:]
 		s.oldest = s.history[0].Object.Metadata.Revision
 	}
-	s.announce()
+	s.notifyWatchers()
 }
 
-func (s *Server) announce() {
+func (s *Server) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// answer sends the outcome of a write, or breaks the connection off instead.
-func (s *Server) answer(c echo.Context, o Object) error {
+// reply sends the result of a write or, under LoseReplies, aborts the connection.
+// The caller holds s.mu.
+func (s *Server) reply(c echo.Context, o Object) error {
 	if s.faults.LoseReplies > 0 {
 		s.faults.LoseReplies--
 		panic(http.ErrAbortHandler)
--- a/lab/standin/workerserver/orders.go
+++ b/lab/standin/workerserver/orders.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// OrderFault is a way to treat an order wrongly.
+// OrderFault is a way in which the server mishandles an order.
 type OrderFault string
 
-// The faults of orders, each for one order. The caller gets no answer.
+// The order faults. Each applies to one order, whose caller gets no answer.
 const (
-	// OrderUnanswered carries the order out at once.
+	// OrderUnanswered executes the order at once.
 	OrderUnanswered OrderFault = "unanswered"
-	// OrderLate carries the order out after orderDelay.
+	// OrderLate executes the order after orderDelay.
 	OrderLate OrderFault = "late"
-	// OrderDropped never carries it out.
+	// OrderDropped never executes the order.
 	OrderDropped OrderFault = "dropped"
 )
 
-// orderDelay is how late a late order is: after the request that it was for.
+// orderDelay is how long OrderLate delays an order: long enough that the request it
+// was sent for has ended.
 const orderDelay = 800 * time.Millisecond
 
-// reservation is memory that is set aside.
+// reservation is KV memory set aside for one order ID until it expires.
 type reservation struct {
 	tokens int64
 	until  time.Time
@@ -36,26 +37,27 @@
 	HoldMs int64  `json:"holdMs"`
 }
 
-// InjectOrder treats the next orders wrongly, one each.
+// InjectOrder applies each fault to one of the next orders.
 func (s *Server) InjectOrder(f ...OrderFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.orders = append(s.orders, f...)
 }
 
-// Reserved is the memory that is set aside now.
+// Reserved returns the KV memory that is reserved now, in tokens.
 func (s *Server) Reserved() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.reserved("")
+	return s.reservedByOthers("")
 }
 
-// reserved is the memory set aside under other names than id; s.mu is held.
-func (s *Server) reserved(id string) (sum int64) {
-	for name, r := range s.held {
+// reservedByOthers returns the tokens reserved under IDs other than id and drops
+// expired reservations. The caller holds s.mu.
+func (s *Server) reservedByOthers(id string) (sum int64) {
+	for other, r := range s.reservations {
 		if time.Now().After(r.until) && !s.cfg.KeepReserved {
-			delete(s.held, name)
-		} else if name != id {
+			delete(s.reservations, other)
+		} else if other != id {
 			sum += r.tokens
 		}
 	}
@@ -68,17 +70,17 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	switch next(&s.mu, &s.orders) {
+	switch popFault(&s.mu, &s.orders) {
 	case OrderUnanswered:
-		s.carryOut(o)
+		s.execute(o)
 		panic(http.ErrAbortHandler)
 	case OrderLate:
-		time.AfterFunc(orderDelay, func() { s.carryOut(o) })
+		time.AfterFunc(orderDelay, func() { s.execute(o) })
 		panic(http.ErrAbortHandler)
 	case OrderDropped:
 		panic(http.ErrAbortHandler)
 	}
-	status, free := s.carryOut(o)
+	status, free := s.execute(o)
 	if status != http.StatusOK {
 		w.WriteHeader(status)
 		return
@@ -87,22 +89,22 @@
 	_, _ = fmt.Fprintf(w, `{"free":%d}`, free)
 }
 
-// carryOut does what an order says and returns the status of its answer.
-func (s *Server) carryOut(o orderBody) (status int, free int64) {
+// execute executes an order and returns the HTTP status and the free KV memory.
+func (s *Server) execute(o orderBody) (status int, free int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	others := s.reserved(o.ID)
+	others := s.reservedByOthers(o.ID)
 	switch {
 	case o.Op == "release":
 		if !s.cfg.KeepReserved {
-			delete(s.held, o.ID)
+			delete(s.reservations, o.ID)
 		}
 	case o.Op != "reserve" || o.Tokens > s.cfg.Memory:
 		return http.StatusBadRequest, 0
 	case others+o.Tokens > s.cfg.Memory:
 		return http.StatusConflict, 0
 	default:
-		s.held[o.ID] = reservation{tokens: o.Tokens, until: time.Now().Add(time.Duration(o.HoldMs) * time.Millisecond)}
+		s.reservations[o.ID] = reservation{tokens: o.Tokens, until: time.Now().Add(time.Duration(o.HoldMs) * time.Millisecond)}
 	}
-	return http.StatusOK, s.cfg.Memory - others - s.held[o.ID].tokens
+	return http.StatusOK, s.cfg.Memory - others - s.reservations[o.ID].tokens
 }
--- a/lab/standin/workerserver/workerserver.go
+++ b/lab/standin/workerserver/workerserver.go
@@ -1,7 +1,7 @@
 // Package workerserver stands in for the backend servers of the users'
-// platform: model engines that stream events and share the reading of prompts,
-// and plain services. It counts what it runs and can answer wrongly in the ways
-// that real servers do.
+// platform: model engines that stream events and split the prefill of prompts
+// between them, and plain services. It counts the requests it runs and injects
+// the faults that real servers show.
 package workerserver
 
 import (
@@ -22,57 +22,57 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Fault is a way to answer wrongly.
+// Fault is a way in which the server mishandles a request.
 type Fault string
 
-// The faults, each for one answer.
+// The faults. Each applies to one answer.
 const (
-	// Shed refuses the request; it does not run.
+	// Shed refuses the request without running it and says so.
 	Shed Fault = "shed"
-	// Cut runs the request and breaks off in the middle of the answer. A stream
-	// that is resumed is not cut again.
+	// Cut runs the request and closes the connection in the middle of the answer.
+	// A resumed stream is not cut again.
 	Cut Fault = "cut"
 	// Lost runs the request and closes the connection without an answer.
 	Lost Fault = "lost"
-	// Extra sends a second answer, to the same request, after the first.
+	// Extra sends a second answer to the same request after the first.
 	Extra Fault = "extra"
-	// Unframed sends an answer without a length that ends with the connection.
+	// Unframed sends an answer without a length; closing the connection ends it.
 	Unframed Fault = "unframed"
-	// Early answers before it reads the body, then reads on.
+	// Early answers before reading the body, then reads the body.
 	Early Fault = "early"
-	// Garbage sends bytes that are no answer.
+	// Garbage sends bytes that are not an HTTP response.
 	Garbage Fault = "garbage"
 	// Failed answers 500.
 	Failed Fault = "failed"
-	// Busy runs the request and answers 503 without saying that it did not run.
+	// Busy runs the request and answers 503 without X-Not-Run.
 	Busy Fault = "busy"
 	// Mute runs the request and never answers.
 	Mute Fault = "mute"
-	// Half answers with half of the answer as if it were whole.
+	// Half sends half of the answer, framed as if it were complete.
 	Half Fault = "half"
-	// Denied runs the request and says that it did not run.
+	// Denied runs the request and falsely answers that it did not run.
 	Denied Fault = "denied"
 )
 
 // Config describes one server.
 type Config struct {
 	ID, Addr string
-	// Events is the number of events of a stream; zero makes a plain service.
+	// Events is the number of events in a stream; zero makes a plain service.
 	Events int
 	// EventPause is the time between two events.
 	EventPause time.Duration
 	// Memory is the KV memory in tokens.
 	Memory int64
-	// CrashOn ends the server, with all that it runs, while it runs a request whose body
-	// contains the text; empty never does. It is back under its ID and address after
-	// BackAfter.
+	// CrashOn crashes the server, with all requests it runs, when it runs a request whose
+	// body contains this text; empty disables it. The server restarts under the same ID
+	// and address after BackAfter.
 	CrashOn   string
 	BackAfter time.Duration
-	// OnCrash and OnBack are told of that, if set.
+	// OnCrash and OnBack, if set, are called at the crash and after the restart.
 	OnCrash, OnBack func()
-	// Always is how each answer is wrong that is not injected; empty for right ones.
+	// Always is the fault of each answer that has no injected one; empty for none.
 	Always Fault
-	// KeepReserved ignores orders to release memory and the end of reservations.
+	// KeepReserved ignores release orders and the expiry of reservations.
 	KeepReserved bool
 }
 
@@ -81,18 +81,18 @@
 	cfg  Config
 	http *http.Server
 
-	mu     sync.Mutex
-	runs   map[string]int
-	seen   []Seen
-	faults []Fault
-	held   map[string]reservation
-	orders []OrderFault
-	used   map[string]bool
-	// doubleUse counts tickets that two requests used at once.
-	doubleUse int
-	left      int
-	crashes   int
-	closed    bool
+	mu           sync.Mutex
+	runs         map[string]int
+	seen         []Seen
+	faults       []Fault
+	reservations map[string]reservation
+	orders       []OrderFault
+	ticketsInUse map[string]bool
+	// doubleUse counts the tickets that two requests used at once.
+	doubleUse   int
+	disconnects int
+	crashes     int
+	closed      bool
 }
 
 // Seen is a request as it arrived.
@@ -105,7 +105,7 @@
 
 // New returns a stopped server.
 func New(cfg Config) *Server {
-	return &Server{cfg: cfg, runs: map[string]int{}, held: map[string]reservation{}, used: map[string]bool{}}
+	return &Server{cfg: cfg, runs: map[string]int{}, reservations: map[string]reservation{}, ticketsInUse: map[string]bool{}}
 }
 
 // Start listens.
@@ -126,7 +126,7 @@
 // Addr returns the address it listens on.
 func (s *Server) Addr() string { return s.cfg.Addr }
 
-// Close stops the server at once and for good.
+// Close stops the server at once; a pending restart is cancelled.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -135,7 +135,7 @@
 	_ = srv.Close()
 }
 
-// crash ends the server with all that it runs and starts it again later.
+// crash stops the server with all requests it runs and restarts it after BackAfter.
 func (s *Server) crash() {
 	s.mu.Lock()
 	s.crashes++
@@ -159,32 +159,32 @@
 	})
 }
 
-// Crashes counts the requests that ended the server.
+// Crashes counts the requests that crashed the server.
 func (s *Server) Crashes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.crashes
 }
 
-// Inject makes the next answers wrong, one each.
+// Inject applies each fault to one of the next answers.
 func (s *Server) Inject(f ...Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = append(s.faults, f...)
 }
 
-// ClearFaults takes back the faults that have not struck.
+// ClearFaults removes the injected faults that have not been applied yet.
 func (s *Server) ClearFaults() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = nil
 }
 
-// Left counts the streams whose caller left before their end.
+// Left counts the streams whose caller disconnected before their end.
 func (s *Server) Left() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.left
+	return s.disconnects
 }
 
 // Runs returns how often a request ran here.
@@ -208,15 +208,15 @@
 	return append([]Seen(nil), s.seen...)
 }
 
-// DoubleUse counts tickets that two requests used at once.
+// DoubleUse counts the tickets that two requests used at once.
 func (s *Server) DoubleUse() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.doubleUse
 }
 
-// next takes the first of the faults to come; there may be none.
-func next[F ~string](mu sync.Locker, faults *[]F) (first F) {
+// popFault removes and returns the first queued fault, or "" if there is none.
+func popFault[F ~string](mu sync.Locker, faults *[]F) (first F) {
 	mu.Lock()
 	defer mu.Unlock()
 	if len(*faults) > 0 {
@@ -243,19 +243,19 @@
 }
 
 func (s *Server) request(w http.ResponseWriter, r *http.Request) {
-	f := next(&s.mu, &s.faults)
+	f := popFault(&s.mu, &s.faults)
 	if f == "" {
 		f = s.cfg.Always
 	}
 	if f == Early {
-		s.early(w, r)
+		s.answerEarly(w, r)
 		return
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	s.note(r, body)
+	s.recordRequest(r, body)
 	id := r.Header.Get("X-Request-Id")
 	w.Header().Set("X-Request-Id", id)
 	if f == Shed {
@@ -275,21 +275,21 @@
 		w.Header().Set("X-Not-Run", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case Failed:
-		s.seal(w, id)
+		s.setSeal(w, id)
 		w.WriteHeader(http.StatusInternalServerError)
 	case Busy:
-		s.seal(w, id)
+		s.setSeal(w, id)
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case Lost, Garbage, Unframed, Extra:
-		s.raw(w, id, f)
+		s.writeRaw(w, id, f)
 	case Mute:
 		<-r.Context().Done()
 	default:
-		s.answer(w, r, f)
+		s.writeAnswer(w, r, f)
 	}
 }
 
-func (s *Server) note(r *http.Request, body []byte) {
+func (s *Server) recordRequest(r *http.Request, body []byte) {
 	deadline, err := strconv.ParseInt(r.Header.Get("X-Deadline-Ms"), 10, 64)
 	if err != nil {
 		deadline = -1
@@ -303,25 +303,25 @@
 	})
 }
 
-// Seal is the signature of this server's answer to a request.
+// Seal returns the signature of a server's answer to a request.
 func Seal(server, id string) string {
 	sum := sha256.Sum256([]byte(server + "/" + id))
 	return hex.EncodeToString(sum[:8])
 }
 
-func (s *Server) seal(w http.ResponseWriter, id string) {
+func (s *Server) setSeal(w http.ResponseWriter, id string) {
 	w.Header().Set("X-Response-Seal", Seal(s.cfg.ID, id))
 }
 
-// Body is the whole answer of a plain service to a request.
+// Body returns the complete answer of a plain service to a request.
 func Body(id string) string { return "done " + id + strings.Repeat(".", 200) }
 
-// Event is one event of a stream; numbers begin at 1.
+// Event returns one event of a stream; numbers begin at 1.
 func Event(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s part %d\n\n", n, id, n) }
 
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, f Fault) {
+func (s *Server) writeAnswer(w http.ResponseWriter, r *http.Request, f Fault) {
 	id := r.Header.Get("X-Request-Id")
-	s.seal(w, id)
+	s.setSeal(w, id)
 	if f == Half {
 		_, _ = io.WriteString(w, Body(id)[:len(Body(id))/2])
 		return
@@ -335,7 +335,7 @@
 		_, _ = io.WriteString(w, Body(id))
 		return
 	}
-	defer s.use(r.Header.Get("X-Helpers"))()
+	defer s.holdTickets(r.Header.Get("X-Helpers"))()
 	w.Header().Set("Content-Type", "text/event-stream")
 	first, err := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	if err != nil {
@@ -354,7 +354,7 @@
 		select {
 		case <-r.Context().Done():
 			s.mu.Lock()
-			s.left++
+			s.disconnects++
 			s.mu.Unlock()
 			return
 		case <-time.After(s.cfg.EventPause):
@@ -362,8 +362,9 @@
 	}
 }
 
-// use marks the tickets of a request as used and returns what ends that.
-func (s *Server) use(helpers string) func() {
+// holdTickets marks the tickets of a request as in use and returns the function that
+// releases them.
+func (s *Server) holdTickets(helpers string) func() {
 	var tickets []string
 	for h := range strings.SplitSeq(helpers, ",") {
 		if _, ticket, ok := strings.Cut(h, "/"); ok {
@@ -373,22 +374,22 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, t := range tickets {
-		if s.used[t] {
+		if s.ticketsInUse[t] {
 			s.doubleUse++
 		}
-		s.used[t] = true
+		s.ticketsInUse[t] = true
 	}
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for _, t := range tickets {
-			delete(s.used, t)
+			delete(s.ticketsInUse, t)
 		}
 	}
 }
 
-// raw writes answers that net/http would not.
-func (s *Server) raw(w http.ResponseWriter, id string, f Fault) {
+// writeRaw writes responses that net/http would not.
+func (s *Server) writeRaw(w http.ResponseWriter, id string, f Fault) {
 	c, rw, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
@@ -404,20 +405,20 @@
 	case Extra:
 		_, _ = rw.WriteString(framed)
 		_ = rw.Flush()
-		time.Sleep(extraAfter)
+		time.Sleep(extraDelay)
 		_, _ = rw.WriteString(framed)
 		_ = rw.Flush()
-		s.serveOn(c, rw.Reader)
+		s.serveHijacked(c, rw.Reader)
 	}
 	_ = rw.Flush()
 }
 
-// extraAfter is when the second answer of Extra follows, so that it arrives on
-// an idle connection.
-const extraAfter = 50 * time.Millisecond
+// extraDelay is the time between the two answers of Extra. It lets the connection
+// become idle before the second one arrives.
+const extraDelay = 50 * time.Millisecond
 
-// serveOn answers further requests on a connection that was taken over.
-func (s *Server) serveOn(c net.Conn, br *bufio.Reader) {
+// serveHijacked answers further requests on a hijacked connection.
+func (s *Server) serveHijacked(c net.Conn, br *bufio.Reader) {
 	for {
 		r, err := http.ReadRequest(br)
 		if err != nil {
@@ -427,7 +428,7 @@
 		if err != nil {
 			return
 		}
-		s.note(r, body)
+		s.recordRequest(r, body)
 		id := r.Header.Get("X-Request-Id")
 		s.mu.Lock()
 		s.runs[id]++
@@ -436,11 +437,11 @@
 	}
 }
 
-// early refuses a request before its body is in and reads on afterwards.
-func (s *Server) early(w http.ResponseWriter, r *http.Request) {
+// answerEarly refuses a request before reading its body, then reads the body.
+func (s *Server) answerEarly(w http.ResponseWriter, r *http.Request) {
 	_ = http.NewResponseController(w).EnableFullDuplex()
 	w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
-	s.seal(w, r.Header.Get("X-Request-Id"))
+	s.setSeal(w, r.Header.Get("X-Request-Id"))
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(http.StatusRequestEntityTooLarge)
 	_ = http.NewResponseController(w).Flush()
