--- a/lab/standin/enginecore/assume.go
+++ b/lab/standin/enginecore/assume.go
@@ -6,9 +6,9 @@
 
 import "time"
 
-// Assumptions are the step times of an engine. The users could not state
-// them; every figure that depends on them is measured at half, once and twice
-// of Assumed.
+// Assumptions are the step times and batch limits of an engine. The real step times
+// are unknown, so every figure that depends on them is measured with Assumed(0.5),
+// Assumed(1) and Assumed(2).
 type Assumptions struct {
 	// StepBase is the fixed cost of one step.
 	StepBase time.Duration
@@ -16,9 +16,9 @@
 	PerPrefillToken time.Duration
 	// PerDecode is the cost of one running stream in a step.
 	PerDecode time.Duration
-	// PerImportToken is the cost of taking over one token of exported KV cache.
+	// PerImportToken is the cost of importing one token of an exported KV cache.
 	PerImportToken time.Duration
-	// LoadModel is the time to load weights.
+	// LoadModel is the time to load the weights of a model.
 	LoadModel time.Duration
 	// ChunkTokens bounds the prompt tokens of one step.
 	ChunkTokens int
@@ -40,8 +40,8 @@
 	}
 }
 
-// Memory sizes in tokens of KV cache: the longest prompts (a million tokens)
-// are more than twice the larger one.
+// KV memory sizes in tokens. The longest prompts (a million tokens) need more than
+// twice the larger one.
 const (
 	SmallKV = 240_000
 	LargeKV = 480_000
--- a/lab/standin/enginecore/cache.go
+++ b/lab/standin/enginecore/cache.go
@@ -7,12 +7,12 @@
 	"github.com/auburnmoor/auburnmoor/port/engine"
 )
 
-// maxEvents bounds the cache events kept for readers; older ones are a gap.
+// maxEvents bounds the cache events kept for readers; a reader sees dropped ones as a gap.
 const maxEvents = 8192
 
 type block struct {
-	pins int
-	used uint64
+	pins     int
+	lastUsed uint64
 }
 
 type timedEvent struct {
@@ -25,12 +25,13 @@
 	blocks map[uint64]*block
 	clock  uint64
 	seq    uint64
-	gap    int
-	events []timedEvent
+	// loseEvery loses every n-th event; zero loses none.
+	loseEvery int
+	events    []timedEvent
 }
 
-func newBlockCache(gap int) *blockCache {
-	return &blockCache{blocks: map[uint64]*block{}, gap: gap}
+func newBlockCache(loseEvery int) *blockCache {
+	return &blockCache{blocks: map[uint64]*block{}, loseEvery: loseEvery}
 }
 
 // match returns the leading blocks of chain that are cached.
@@ -46,7 +47,7 @@
 	b.clock++
 	for _, h := range hashes {
 		b.blocks[h].pins++
-		b.blocks[h].used = b.clock
+		b.blocks[h].lastUsed = b.clock
 	}
 }
 
@@ -58,8 +59,8 @@
 	}
 }
 
-// evict frees unpinned blocks until streams and cache fit into total; it
-// evicts nothing when that is impossible.
+// evict evicts unpinned blocks until the streams' memory and the cache fit into total
+// and reports whether they do. It evicts nothing if they cannot fit.
 func (b *blockCache) evict(now time.Duration, streams, total int64) bool {
 	free := total - streams - b.tokens()
 	if free >= 0 {
@@ -75,52 +76,52 @@
 		return false
 	}
 	for free < 0 {
-		b.drop(now, b.oldest())
+		b.evictBlock(now, b.leastRecentlyUsed())
 		free += prefix.TokensPerBlock
 	}
 	return true
 }
 
-func (b *blockCache) oldest() uint64 {
+func (b *blockCache) leastRecentlyUsed() uint64 {
 	var best uint64
 	var found *block
 	for h, e := range b.blocks {
 		if e.pins > 0 {
 			continue
 		}
-		if found == nil || e.used < found.used || (e.used == found.used && h < best) {
+		if found == nil || e.lastUsed < found.lastUsed || (e.lastUsed == found.lastUsed && h < best) {
 			best, found = h, e
 		}
 	}
 	return best
 }
 
-func (b *blockCache) drop(now time.Duration, h uint64) {
+func (b *blockCache) evictBlock(now time.Duration, h uint64) {
 	delete(b.blocks, h)
-	b.note(now, engine.CacheEvent{Hash: h, Evicted: true})
+	b.recordEvent(now, engine.CacheEvent{Hash: h, Evicted: true})
 }
 
-// add stores a finished prompt's blocks as far as room tokens allow.
-func (b *blockCache) add(now time.Duration, chain []uint64, room int64) {
+// add caches the blocks of a finished prompt until the cache holds limit tokens.
+func (b *blockCache) add(now time.Duration, chain []uint64, limit int64) {
 	b.clock++
 	for _, h := range chain {
 		if e := b.blocks[h]; e != nil {
-			e.used = b.clock
+			e.lastUsed = b.clock
 			continue
 		}
-		if b.tokens()+prefix.TokensPerBlock > room {
+		if b.tokens()+prefix.TokensPerBlock > limit {
 			return
 		}
-		b.blocks[h] = &block{used: b.clock}
-		b.note(now, engine.CacheEvent{Hash: h})
+		b.blocks[h] = &block{lastUsed: b.clock}
+		b.recordEvent(now, engine.CacheEvent{Hash: h})
 	}
 }
 
 func (b *blockCache) tokens() int64 { return int64(len(b.blocks)) * prefix.TokensPerBlock }
 
-func (b *blockCache) note(now time.Duration, ev engine.CacheEvent) {
+func (b *blockCache) recordEvent(now time.Duration, ev engine.CacheEvent) {
 	b.seq++
-	if b.gap > 0 && b.seq%uint64(b.gap) == 0 {
+	if b.loseEvery > 0 && b.seq%uint64(b.loseEvery) == 0 {
 		return
 	}
 	ev.Seq = b.seq
@@ -130,7 +131,7 @@
 	}
 }
 
-func (b *blockCache) since(seq uint64, until time.Duration) []engine.CacheEvent {
+func (b *blockCache) eventsSince(seq uint64, until time.Duration) []engine.CacheEvent {
 	var out []engine.CacheEvent
 	for _, e := range b.events {
 		if e.ev.Seq > seq && e.at <= until {
--- a/lab/standin/enginecore/core.go
+++ b/lab/standin/enginecore/core.go
@@ -18,7 +18,7 @@
 	Name     string
 	KVTokens int64
 	Assume   Assumptions
-	// Fencing makes the engine refuse orders with an old fencing number.
+	// Fencing makes the engine refuse orders with an outdated fencing token.
 	Fencing bool
 	// ReportLag delays load reports, EventLag delays cache events.
 	ReportLag time.Duration
@@ -28,8 +28,8 @@
 	Models   []string
 }
 
-// Request is a stream to run. Prompt text stays with the server; the core
-// sees lengths and block hashes.
+// Request is a stream to run. The server keeps the prompt text; the core gets
+// only lengths and block hashes.
 type Request struct {
 	ID           string
 	Attempt      uint32
@@ -37,13 +37,13 @@
 	MaxTokens    int64
 	Chain        []uint64
 	Priority     int64
-	// ImportTokens is context taken over from exported KV caches.
+	// ImportTokens is the context imported from exported KV caches.
 	ImportTokens int64
-	// Hold keeps the KV cache after prefill instead of generating.
+	// Hold keeps the KV cache for export after prefill instead of generating.
 	Hold bool
 }
 
-// OutputKind tells what a step produced.
+// OutputKind is the kind of an Output.
 type OutputKind int
 
 // The kinds of output.
@@ -54,7 +54,7 @@
 	Dropped
 )
 
-// Output is one thing a step produced for a stream.
+// Output is one result of a step for one stream.
 type Output struct {
 	Kind    OutputKind
 	At      time.Duration
@@ -78,23 +78,23 @@
 
 // Core is the state of one engine. It is not safe for concurrent use.
 type Core struct {
-	cfg       Config
-	waiting   []*stream
-	running   []*stream
-	byID      map[string]*stream
-	cache     *blockCache
-	memUsed   int64
-	stepEnd   time.Duration
-	inStep    bool
-	plan      stepPlan
-	slow      float64
-	hung      bool
-	orders    orderState
-	reports   []engine.Report
-	prefilled int64
-	steps     int64
-	busy      time.Duration
-	recent    recentRates
+	cfg        Config
+	waiting    []*stream
+	running    []*stream
+	byID       map[string]*stream
+	cache      *blockCache
+	memUsed    int64
+	stepEnd    time.Duration
+	inStep     bool
+	plan       stepPlan
+	slowFactor float64
+	hung       bool
+	orders     orderState
+	reports    []engine.Report
+	prefilled  int64
+	steps      int64
+	busy       time.Duration
+	recent     recentRates
 }
 
 type stepPlan struct {
@@ -102,38 +102,38 @@
 	decode  []*stream
 }
 
-// ErrExists is returned when a stream with the same ID is known.
+// ErrExists is returned when a stream with the same ID exists.
 var ErrExists = errors.New("stream exists")
 
-// ErrTooLarge is returned when a stream can never fit.
+// ErrTooLarge is returned when a stream needs more memory than the engine has.
 var ErrTooLarge = errors.New("stream exceeds engine memory")
 
 // New returns an idle engine.
 func New(cfg Config) *Core {
-	c := &Core{cfg: cfg, byID: map[string]*stream{}, slow: 1}
+	c := &Core{cfg: cfg, byID: map[string]*stream{}, slowFactor: 1}
 	c.cache = newBlockCache(cfg.EventGap)
 	c.orders = newOrderState(cfg)
 	return c
 }
 
-// Submit queues a stream; it runs when memory and priority allow.
+// Submit queues a stream, which is admitted by priority once its memory is free.
 func (c *Core) Submit(now time.Duration, r Request) error {
 	if _, ok := c.byID[r.ID]; ok {
 		return ErrExists
 	}
 	s := &stream{req: r, started: now, prefillLeft: r.PromptTokens, importLeft: r.ImportTokens}
-	if need(s) > c.cfg.KVTokens {
+	if memoryNeed(s) > c.cfg.KVTokens {
 		return ErrTooLarge
 	}
 	c.byID[r.ID] = s
 	c.waiting = append(c.waiting, s)
-	c.begin(now)
+	c.startStep(now)
 	return nil
 }
 
-func need(s *stream) int64 { return s.req.PromptTokens + s.req.MaxTokens }
+func memoryNeed(s *stream) int64 { return s.req.PromptTokens + s.req.MaxTokens }
 
-// Cancel ends a stream or releases a held KV cache and frees its memory.
+// Cancel ends a stream or releases a held KV cache, and frees its memory.
 func (c *Core) Cancel(now time.Duration, id string) bool {
 	s, ok := c.byID[id]
 	if !ok {
@@ -145,21 +145,21 @@
 
 func (c *Core) remove(now time.Duration, s *stream, keepCache bool) {
 	delete(c.byID, s.req.ID)
-	same := func(o *stream) bool { return o == s }
-	c.waiting = slices.DeleteFunc(c.waiting, same)
-	c.running = slices.DeleteFunc(c.running, same)
+	isStream := func(o *stream) bool { return o == s }
+	c.waiting = slices.DeleteFunc(c.waiting, isStream)
+	c.running = slices.DeleteFunc(c.running, isStream)
 	if s.memory == 0 {
 		return
 	}
 	c.memUsed -= s.memory
 	c.cache.unpin(s.pinned)
 	if keepCache {
-		room := c.cfg.KVTokens - c.memUsed
-		c.cache.add(now, s.req.Chain, room)
+		limit := c.cfg.KVTokens - c.memUsed
+		c.cache.add(now, s.req.Chain, limit)
 	}
 }
 
-// Next returns when the engine has something to do next.
+// Next returns the end of the current step, if a step is in progress.
 func (c *Core) Next() (time.Duration, bool) {
 	if c.hung || !c.inStep {
 		return 0, false
@@ -167,20 +167,20 @@
 	return c.stepEnd, true
 }
 
-// Advance completes the steps that end by now and returns what they produced.
+// Advance completes the steps that end by now and returns their outputs.
 func (c *Core) Advance(now time.Duration) []Output {
 	var out []Output
 	for !c.hung && c.inStep && c.stepEnd <= now {
 		at := c.stepEnd
 		out = c.finishStep(at, out)
 		c.inStep = false
-		c.begin(at)
+		c.startStep(at)
 	}
 	return out
 }
 
-// begin starts a step if there is work.
-func (c *Core) begin(now time.Duration) {
+// startStep starts a step if there is work.
+func (c *Core) startStep(now time.Duration) {
 	if c.inStep || c.hung {
 		return
 	}
@@ -191,14 +191,14 @@
 	}
 	c.plan = plan
 	c.inStep = true
-	d := time.Duration(float64(cost) * c.slow)
+	d := time.Duration(float64(cost) * c.slowFactor)
 	c.stepEnd = now + d
 	c.steps++
 	c.busy += d
-	c.recent.note(plan, d)
+	c.recent.recordStep(plan, d)
 }
 
-// admit moves waiting streams into memory in order of priority. A stream that
+// admit admits waiting streams to the batch in order of priority. A stream that
 // does not fit blocks those behind it, so that a large one is not starved.
 func (c *Core) admit(now time.Duration) {
 	slices.SortStableFunc(c.waiting, byPriority)
@@ -206,7 +206,7 @@
 		s := c.waiting[0]
 		blocks := c.cache.match(s.req.Chain)
 		cached := int64(len(blocks)) * prefix.TokensPerBlock
-		memory := need(s) - cached
+		memory := memoryNeed(s) - cached
 		c.cache.pin(blocks)
 		if !c.cache.evict(now, c.memUsed+memory, c.cfg.KVTokens) {
 			c.cache.unpin(blocks)
@@ -283,7 +283,7 @@
 	return out
 }
 
-// Hang freezes or thaws the engine.
+// Hang freezes the engine or lets it run again.
 func (c *Core) Hang(now time.Duration, on bool) {
 	c.hung = on
 	if on {
@@ -292,13 +292,13 @@
 	if c.inStep && c.stepEnd < now {
 		c.stepEnd = now
 	}
-	c.begin(now)
+	c.startStep(now)
 }
 
-// Slow multiplies step times.
-func (c *Core) Slow(factor float64) { c.slow = factor }
+// Slow multiplies step times by factor.
+func (c *Core) Slow(factor float64) { c.slowFactor = factor }
 
-// Held returns the KV memory in tokens that streams hold.
+// Held returns the KV memory in tokens that streams use.
 func (c *Core) Held() int64 { return c.memUsed }
 
 // Prefilled returns the prompt tokens computed since the start.
@@ -310,7 +310,7 @@
 // Streams returns the number of streams known to the engine.
 func (c *Core) Streams() int { return len(c.byID) }
 
-// Report returns a load report of now; the caller applies the lag.
+// Report returns a load report as of now, without ReportLag.
 func (c *Core) Report(now time.Duration) engine.Report {
 	r := engine.Report{
 		Engine: c.cfg.Name, AtMS: now.Milliseconds(), KVTotal: c.cfg.KVTokens, KVUsed: c.memUsed,
@@ -328,7 +328,7 @@
 	return r
 }
 
-// active counts the streams that steps work on; held KV caches only wait.
+// active counts the running streams, without those whose KV cache is only held.
 func (c *Core) active() int {
 	n := 0
 	for _, s := range c.running {
@@ -339,8 +339,8 @@
 	return n
 }
 
-// LaggedReport records a report of now and returns the newest that is at
-// least ReportLag old.
+// LaggedReport records a report as of now and returns the newest recorded one
+// that is at least ReportLag old, or else the oldest.
 func (c *Core) LaggedReport(now time.Duration) engine.Report {
 	c.reports = append(c.reports, c.Report(now))
 	i := 0
@@ -351,12 +351,12 @@
 	return c.reports[0]
 }
 
-// Events returns the cache events after seq that are old enough to be seen.
+// Events returns the cache events after seq that are at least EventLag old.
 func (c *Core) Events(now time.Duration, seq uint64) []engine.CacheEvent {
-	return c.cache.since(seq, now-c.cfg.EventLag)
+	return c.cache.eventsSince(seq, now-c.cfg.EventLag)
 }
 
-// Order carries out an order; it is idempotent.
+// Order executes an order; it is idempotent.
 func (c *Core) Order(now time.Duration, o engine.Order) error { return c.orders.apply(now, o) }
 
 // String implements fmt.Stringer.
--- a/lab/standin/enginecore/core_test.go
+++ b/lab/standin/enginecore/core_test.go
@@ -33,7 +33,7 @@
 }
 
 var _ = Describe("an emulated engine", func() {
-	It("numbers tokens, ends with their count and frees its memory", func() {
+	It("numbers tokens, ends a stream with their count and frees its memory", func() {
 		c := newCore()
 		Expect(c.Submit(0, enginecore.Request{ID: "s", PromptTokens: 1000, MaxTokens: 3})).To(Succeed())
 		outs := drain(c)
@@ -70,13 +70,13 @@
 		Expect(c.Held()).To(BeZero())
 	})
 
-	It("refuses an order with an old fencing number", func() {
+	It("refuses an order with an outdated fencing token", func() {
 		c := newCore()
 		Expect(c.Order(0, engine.Order{Kind: engine.OrderLoad, Target: "m", Fence: 5})).To(Succeed())
 		Expect(c.Order(0, engine.Order{Kind: engine.OrderLoad, Target: "m", Fence: 4})).To(MatchError(engine.ErrStaleFence))
 	})
 
-	It("completes no step while it hangs and goes on after", func() {
+	It("completes no step while it hangs and resumes afterwards", func() {
 		c := newCore()
 		Expect(c.Submit(0, enginecore.Request{ID: "s", PromptTokens: 100, MaxTokens: 2})).To(Succeed())
 		c.Hang(0, true)
@@ -86,8 +86,8 @@
 	})
 })
 
-// TestMemoryProperty submits, cancels and runs random streams; the memory in
-// use never exceeds the engine's and nothing stays held at the end.
+// TestMemoryProperty submits, cancels and runs random streams: memory use never
+// exceeds the engine's memory, and all of it is free at the end.
 func TestMemoryProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCore()
--- a/lab/standin/enginecore/orders.go
+++ b/lab/standin/enginecore/orders.go
@@ -7,7 +7,7 @@
 	"github.com/auburnmoor/auburnmoor/port/engine"
 )
 
-// orderState holds what orders changed: loaded weights and the role.
+// orderState is the state that orders change: loaded models and the role.
 type orderState struct {
 	fencing  bool
 	fence    uint64
--- a/lab/standin/enginecore/rates.go
+++ b/lab/standin/enginecore/rates.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// rateMemory is the part of the sums that one step leaves in place.
-const rateMemory = 0.98
+// rateDecay is the factor by which each step decays the sums.
+const rateDecay = 0.98
 
-// recentRates are the decaying sums behind the rates that an engine publishes.
+// recentRates holds exponentially decaying sums for the rates in load reports.
 type recentRates struct {
-	tokens  float64
-	prefill float64
-	steps   float64
-	all     float64
+	prefillTokens  float64
+	prefillSeconds float64
+	steps          float64
+	stepSeconds    float64
 }
 
-func (r *recentRates) note(plan stepPlan, d time.Duration) {
-	r.steps = r.steps*rateMemory + 1
-	r.all = r.all*rateMemory + d.Seconds()
+func (r *recentRates) recordStep(plan stepPlan, d time.Duration) {
+	r.steps = r.steps*rateDecay + 1
+	r.stepSeconds = r.stepSeconds*rateDecay + d.Seconds()
 	tokens := int64(0)
 	for _, n := range plan.prefill {
 		tokens += n
@@ -23,22 +23,22 @@
 	if tokens == 0 {
 		return
 	}
-	r.tokens = r.tokens*rateMemory + float64(tokens)
-	r.prefill = r.prefill*rateMemory + d.Seconds()
+	r.prefillTokens = r.prefillTokens*rateDecay + float64(tokens)
+	r.prefillSeconds = r.prefillSeconds*rateDecay + d.Seconds()
 }
 
-// tokensPerSecond is the prefill rate over recent steps that computed prompts.
+// tokensPerSecond returns the prefill rate over recent steps with prefill.
 func (r *recentRates) tokensPerSecond() float64 {
-	if r.prefill == 0 {
+	if r.prefillSeconds == 0 {
 		return 0
 	}
-	return r.tokens / r.prefill
+	return r.prefillTokens / r.prefillSeconds
 }
 
-// stepMS is the mean duration of recent steps in milliseconds.
+// stepMS returns the mean duration of recent steps in milliseconds.
 func (r *recentRates) stepMS() float64 {
 	if r.steps == 0 {
 		return 0
 	}
-	return r.all / r.steps * 1000
+	return r.stepSeconds / r.steps * 1000
 }
