--- a/lab/standin/engineserver/faults.go
+++ b/lab/standin/engineserver/faults.go
@@ -13,26 +13,26 @@
 	"github.com/auburnmoor/auburnmoor/port/engine"
 )
 
-// FaultKind is a fault that can be requested.
+// FaultKind is a kind of fault that can be injected.
 type FaultKind string
 
 // The faults.
 const (
-	// Die refuses connections and loses all state.
+	// Die closes every connection and loses all state.
 	Die FaultKind = "die"
-	// Hang stops the work but not the connections.
+	// Hang stops all steps but keeps the connections open.
 	Hang FaultKind = "hang"
 	// Slow multiplies step times by Factor.
 	Slow FaultKind = "slow"
 	// Late delays the next Times chunks by Factor milliseconds.
 	Late FaultKind = "late"
-	// Crossed hands the next Times chunks to the wrong stream.
+	// Crossed gives the next Times chunks the ID of another stream.
 	Crossed FaultKind = "crossed"
-	// Drop cuts the connection of the next Times streams after a few chunks.
+	// Drop cuts the connection of the next Times streams at chunk dropAfter.
 	Drop FaultKind = "drop"
 )
 
-// Fault is a request to misbehave.
+// Fault turns a fault on or off.
 type Fault struct {
 	Kind   FaultKind `json:"kind"`
 	On     bool      `json:"on"`
@@ -41,11 +41,11 @@
 }
 
 type faults struct {
-	dead    bool
-	late    time.Duration
-	lateN   int
-	crossed int
-	drop    int
+	dead      bool
+	late      time.Duration
+	lateTimes int
+	crossed   int
+	drop      int
 }
 
 // dropAfter is the chunk at which a dropped stream is cut.
@@ -60,20 +60,20 @@
 	return c.NoContent(http.StatusOK)
 }
 
-// Inject makes the engine misbehave.
+// Inject applies a fault.
 func (s *Server) Inject(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	defer s.kick()
+	defer s.wakeLoop()
 	switch f.Kind {
 	case Die:
-		s.die(f.On)
+		s.setDead(f.On)
 	case Hang:
 		s.core.Hang(s.now(), f.On)
 	case Slow:
 		s.core.Slow(f.Factor)
 	case Late:
-		s.faults.late, s.faults.lateN = time.Duration(f.Factor*float64(time.Millisecond)), f.Times
+		s.faults.late, s.faults.lateTimes = time.Duration(f.Factor*float64(time.Millisecond)), f.Times
 	case Crossed:
 		s.faults.crossed = f.Times
 	case Drop:
@@ -81,7 +81,7 @@
 	}
 }
 
-func (s *Server) die(on bool) {
+func (s *Server) setDead(on bool) {
 	s.faults.dead = on
 	if !on {
 		return
@@ -95,9 +95,9 @@
 	}
 }
 
-// maybeDead cuts every connection while the engine plays dead; only the fault
-// interface stays reachable.
-func (s *Server) maybeDead(next echo.HandlerFunc) echo.HandlerFunc {
+// closeIfDead closes every connection while the Die fault is on; only the fault
+// endpoint stays reachable.
+func (s *Server) closeIfDead(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		s.mu.Lock()
 		dead := s.faults.dead
@@ -107,18 +107,18 @@
 		}
 		conn, _, err := c.Response().Hijack()
 		if err != nil {
-			return errors.Wrap(err, "playing dead")
+			return errors.Wrap(err, "closing connection under fault die")
 		}
 		return conn.Close()
 	}
 }
 
-// spoil applies chunk faults and reports whether to cut the connection.
-func (s *Server) spoil(ch *engine.Chunk) (cut bool) {
+// applyChunkFaults applies the chunk faults and reports whether to cut the connection.
+func (s *Server) applyChunkFaults(ch *engine.Chunk) (cut bool) {
 	s.mu.Lock()
 	late := time.Duration(0)
-	if s.faults.lateN > 0 {
-		s.faults.lateN--
+	if s.faults.lateTimes > 0 {
+		s.faults.lateTimes--
 		late = s.faults.late
 	}
 	if s.faults.crossed > 0 {
--- a/lab/standin/engineserver/server.go
+++ b/lab/standin/engineserver/server.go
@@ -1,5 +1,5 @@
 // Package engineserver serves the HTTP protocol of package port/engine on top
-// of the emulated engine core, with faults on request.
+// of the emulated engine core and injects faults.
 package engineserver
 
 import (
@@ -22,8 +22,8 @@
 	"github.com/auburnmoor/auburnmoor/port/engine"
 )
 
-// keepEnded is how long an ended stream can still be resumed.
-const keepEnded = 30 * time.Second
+// resumeWindow is how long an ended stream can still be resumed.
+const resumeWindow = 30 * time.Second
 
 // Server is one engine on one address.
 type Server struct {
@@ -34,24 +34,24 @@
 	wake  chan struct{}
 	stop  context.CancelFunc
 
-	mu      sync.Mutex
-	core    *enginecore.Core
-	streams map[string]*stream
-	faults  faults
-	runs    uint64
-	swept   time.Time
+	mu         sync.Mutex
+	core       *enginecore.Core
+	streams    map[string]*stream
+	faults     faults
+	runs       uint64
+	lastExpiry time.Time
 }
 
-// stream buffers what an engine generated, for its reader and for resumption.
+// stream buffers the generated chunks for the reader and for resumption.
 type stream struct {
-	meta    engine.Stream
-	hash    uint64
-	digest  []byte
-	tokens  int64
-	chunks  []engine.Chunk
-	changed chan struct{}
-	ended   bool
-	endedAt time.Time
+	meta      engine.Stream
+	hash      uint64
+	hashState []byte
+	tokens    int64
+	chunks    []engine.Chunk
+	changed   chan struct{}
+	ended     bool
+	endedAt   time.Time
 }
 
 // New returns a stopped engine.
@@ -59,7 +59,7 @@
 	return &Server{cfg: cfg, addr: addr, start: time.Now(), core: enginecore.New(cfg), streams: map[string]*stream{}, wake: make(chan struct{}, 1)}
 }
 
-// Start listens and begins to work.
+// Start listens and starts the engine.
 func (s *Server) Start() error {
 	lis, err := net.Listen("tcp", s.addr)
 	if err != nil {
@@ -70,7 +70,7 @@
 	s.stop = stop
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
-	e.Use(s.maybeDead)
+	e.Use(s.closeIfDead)
 	e.POST("/v1/streams", s.run)
 	e.POST("/v1/streams/:id/resume", s.resume)
 	e.POST("/v1/streams/:id/cancel", s.cancel)
@@ -97,7 +97,7 @@
 // Runs returns the number of streams begun.
 func (s *Server) Runs() uint64 { s.mu.Lock(); defer s.mu.Unlock(); return s.runs }
 
-// Held returns the KV memory in use and the streams known to the core.
+// Held returns the KV memory in use and the number of streams in the core.
 func (s *Server) Held() (tokens int64, streams int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +106,7 @@
 
 func (s *Server) now() time.Duration { return time.Since(s.start) }
 
-// loop completes steps when they are due.
+// loop completes each step when it ends.
 func (s *Server) loop(ctx context.Context) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -128,7 +128,7 @@
 	}
 }
 
-func (s *Server) kick() {
+func (s *Server) wakeLoop() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -177,7 +177,7 @@
 		return c.String(http.StatusBadGateway, err.Error())
 	}
 	s.mu.Lock()
-	s.expire()
+	s.removeExpired()
 	if err := s.core.Submit(s.now(), req); err != nil {
 		s.mu.Unlock()
 		return c.String(http.StatusConflict, err.Error())
@@ -185,12 +185,12 @@
 	s.runs++
 	s.streams[meta.ID] = st
 	s.mu.Unlock()
-	s.kick()
-	return s.follow(c, st, 0)
+	s.wakeLoop()
+	return s.writeChunks(c, st, 0)
 }
 
-// prepare computes what the core needs from the prompt and takes over the
-// state of the segments before this one.
+// prepare computes the core's request from the prompt. The exported hash state of
+// the preceding segments, which stands in for their KV cache, is continued.
 func (s *Server) prepare(ctx context.Context, meta engine.Stream, prompt string) (*stream, enginecore.Request, error) {
 	d := xxhash.New()
 	imported := int64(0)
@@ -212,7 +212,7 @@
 		return nil, enginecore.Request{}, err
 	}
 	tokens := int64(prefix.EstimateTokens(len(prompt)))
-	st := &stream{meta: meta, hash: d.Sum64(), digest: state, tokens: tokens, changed: make(chan struct{})}
+	st := &stream{meta: meta, hash: d.Sum64(), hashState: state, tokens: tokens, changed: make(chan struct{})}
 	req := enginecore.Request{
 		ID: meta.ID, Attempt: meta.Attempt, PromptTokens: tokens, MaxTokens: meta.MaxTokens,
 		Priority: meta.Priority, ImportTokens: imported, Hold: meta.Hold,
@@ -249,7 +249,7 @@
 	if st == nil || !st.meta.Hold {
 		return c.NoContent(http.StatusNotFound)
 	}
-	return c.Blob(http.StatusOK, echo.MIMEOctetStream, st.digest)
+	return c.Blob(http.StatusOK, echo.MIMEOctetStream, st.hashState)
 }
 
 func (s *Server) resume(c echo.Context) error {
@@ -260,11 +260,11 @@
 	if st == nil {
 		return c.String(http.StatusNotFound, "no such stream")
 	}
-	return s.follow(c, st, from)
+	return s.writeChunks(c, st, from)
 }
 
-// follow writes a stream's chunks from number from until its end.
-func (s *Server) follow(c echo.Context, st *stream, from int64) error {
+// writeChunks writes a stream's chunks, starting with number from, until its end.
+func (s *Server) writeChunks(c echo.Context, st *stream, from int64) error {
 	w := c.Response()
 	w.Header().Set(echo.HeaderContentType, "application/x-ndjson")
 	w.WriteHeader(http.StatusOK)
@@ -272,22 +272,22 @@
 	sent := 0
 	for {
 		s.mu.Lock()
-		news, changed, ended := st.chunks[sent:], st.changed, st.ended
+		newChunks, changed, ended := st.chunks[sent:], st.changed, st.ended
 		s.mu.Unlock()
-		for _, ch := range news {
+		for _, ch := range newChunks {
 			sent++
 			if ch.Seq < from && !ch.End {
 				continue
 			}
-			if stop := s.spoil(&ch); stop {
-				return errors.New("dropped on request")
+			if stop := s.applyChunkFaults(&ch); stop {
+				return errors.New("stream dropped by injected fault")
 			}
 			if err := enc.Encode(ch); err != nil {
 				return nil
 			}
 		}
 		w.Flush()
-		if ended && len(news) == 0 || len(news) > 0 && news[len(news)-1].End {
+		if ended && len(newChunks) == 0 || len(newChunks) > 0 && newChunks[len(newChunks)-1].End {
 			return nil
 		}
 		select {
@@ -309,18 +309,18 @@
 	}
 	delete(s.streams, id)
 	s.mu.Unlock()
-	s.kick()
+	s.wakeLoop()
 	return c.NoContent(http.StatusOK)
 }
 
-// expire forgets ended streams that nobody resumed; held ones stay.
-func (s *Server) expire() {
-	if time.Since(s.swept) < time.Second {
+// removeExpired removes streams that ended more than resumeWindow ago; held ones stay.
+func (s *Server) removeExpired() {
+	if time.Since(s.lastExpiry) < time.Second {
 		return
 	}
-	s.swept = time.Now()
+	s.lastExpiry = time.Now()
 	for id, st := range s.streams {
-		if st.ended && !st.meta.Hold && time.Since(st.endedAt) > keepEnded {
+		if st.ended && !st.meta.Hold && time.Since(st.endedAt) > resumeWindow {
 			delete(s.streams, id)
 		}
 	}
