--- a/lab/standin/platformserver/key.go
+++ b/lab/standin/platformserver/key.go
@@ -6,8 +6,8 @@
 	"github.com/labstack/echo/v4"
 )
 
-// keyOf returns the object key of a path; keys contain slashes and arrive
-// escaped.
+// keyOf returns the object key in the request path. Keys contain slashes and are
+// escaped in the path.
 func keyOf(c echo.Context) string {
 	if out, err := url.PathUnescape(c.Param("key")); err == nil {
 		return out
--- a/lab/standin/platformserver/server.go
+++ b/lab/standin/platformserver/server.go
@@ -1,7 +1,7 @@
 // Package platformserver stands in for the platform: the object API with
-// versions, conditional updates and watches, and the instance list. It can be
-// down, slow, lose replies after a write, answer stale reads, lag, and come back from an
-// older copy of the objects.
+// versions, conditional updates and watches, and the instance list, which may lag.
+// It can be down, silent or slow, lose the replies to writes, and be restored from
+// an older backup of the objects.
 package platformserver
 
 import (
@@ -26,15 +26,15 @@
 	"github.com/auburnmoor/auburnmoor/port/objectapi"
 )
 
-// Faults are what the platform can suffer.
+// Faults are the faults the platform can inject.
 type Faults struct {
-	// Down refuses every call.
+	// Down answers every call with 503.
 	Down bool `json:"down"`
-	// Silent never answers the calls that it takes, nor those that wait already.
+	// Silent never answers new calls, nor the watches that are already waiting.
 	Silent bool `json:"silent"`
-	// LoseReplies drops the replies of the next writes after they took effect.
+	// LoseReplies drops the replies to this many writes after they took effect.
 	LoseReplies int `json:"lose_replies"`
-	// DelayMS slows every call.
+	// DelayMS delays every call.
 	DelayMS int64 `json:"delay_ms"`
 }
 
@@ -44,19 +44,19 @@
 	lag  time.Duration
 	http *http.Server
 
-	mu       sync.Mutex
-	objects  map[string]objectapi.Object
-	version  uint64
-	changed  chan struct{}
-	list     map[string]instances.Instance
-	visible  []listed
-	faults   Faults
-	counts   map[string]uint64
-	watching int
-	weights  *rate.Limiter
-	era      atomic.Uint64
-	backup   backup
-	// silences counts how often the platform fell silent.
+	mu            sync.Mutex
+	objects       map[string]objectapi.Object
+	version       uint64
+	changed       chan struct{}
+	list          map[string]instances.Instance
+	listSnapshots []listSnapshot
+	faults        Faults
+	counts        map[string]uint64
+	watching      int
+	weights       *rate.Limiter
+	era           atomic.Uint64
+	backup        backup
+	// silences counts how often Silent was set.
 	silences atomic.Uint64
 }
 
@@ -66,28 +66,28 @@
 	version uint64
 }
 
-// Copy keeps a copy of the objects.
+// Copy takes a backup of the objects.
 func (s *Server) Copy() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.backup = backup{maps.Clone(s.objects), s.version}
 }
 
-// Restore brings the copy back and begins a new era.
+// Restore restores the backup and begins a new era.
 func (s *Server) Restore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.objects, s.version = maps.Clone(s.backup.objects), s.backup.version
 	s.era.Add(1)
-	s.announce()
+	s.notifyWatchers()
 }
 
-type listed struct {
+type listSnapshot struct {
 	at   time.Time
 	list []instances.Instance
 }
 
-// New returns a stopped platform whose instance list lags.
+// New returns a stopped platform whose instance list is served lag late.
 func New(addr string, lag time.Duration) *Server {
 	s := &Server{
 		addr: addr, lag: lag, objects: map[string]objectapi.Object{}, changed: make(chan struct{}),
@@ -107,7 +107,7 @@
 	s.addr = lis.Addr().String()
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
-	e.Use(s.suffer)
+	e.Use(s.injectFaults)
 	e.GET("/objects", s.listObjects)
 	e.GET("/objects/:key", s.get)
 	e.PUT("/objects/:key", s.put)
@@ -129,8 +129,8 @@
 // Close stops the platform at once.
 func (s *Server) Close() { _ = s.http.Close() }
 
-// suffer applies the faults and counts calls.
-func (s *Server) suffer(next echo.HandlerFunc) echo.HandlerFunc {
+// injectFaults applies the faults to object calls and counts them.
+func (s *Server) injectFaults(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if !strings.HasPrefix(c.Path(), "/objects") {
 			return next(c)
@@ -171,7 +171,7 @@
 	if have, err := strconv.ParseUint(c.QueryParam("watch"), 10, 64); err == nil {
 		wait, _ := strconv.ParseInt(c.QueryParam("wait_ms"), 10, 64)
 		silences := s.silences.Load()
-		s.wait(c.Request().Context(), key, have, time.Duration(wait)*time.Millisecond)
+		s.waitForChange(c.Request().Context(), key, have, time.Duration(wait)*time.Millisecond)
 		if s.silences.Load() > silences {
 			<-c.Request().Context().Done()
 			return nil
@@ -187,8 +187,8 @@
 	return c.Blob(http.StatusOK, echo.MIMEOctetStream, o.Value)
 }
 
-// wait holds a watch until the key's version differs from have.
-func (s *Server) wait(ctx context.Context, key string, have uint64, d time.Duration) {
+// waitForChange blocks a watch until the key's version differs from have, or d has passed.
+func (s *Server) waitForChange(ctx context.Context, key string, have uint64, d time.Duration) {
 	timeout := time.NewTimer(d)
 	defer timeout.Stop()
 	s.mu.Lock()
@@ -235,17 +235,17 @@
 	s.version++
 	s.objects[key] = objectapi.Object{Key: key, Version: s.version, Value: value}
 	version := s.version
-	lose := s.announce()
+	lose := s.notifyWatchers()
 	s.mu.Unlock()
 	if lose {
-		return s.loseReply(c)
+		return s.dropReply(c)
 	}
 	c.Response().Header().Set(objectapi.HeaderVersion, strconv.FormatUint(version, 10))
 	return c.NoContent(http.StatusOK)
 }
 
-// announce wakes the watches and tells whether this write's reply is lost.
-func (s *Server) announce() bool {
+// notifyWatchers wakes the watches and reports whether to lose the reply to this write.
+func (s *Server) notifyWatchers() bool {
 	close(s.changed)
 	s.changed = make(chan struct{})
 	if s.faults.LoseReplies > 0 {
@@ -255,7 +255,7 @@
 	return false
 }
 
-func (s *Server) loseReply(c echo.Context) error {
+func (s *Server) dropReply(c echo.Context) error {
 	conn, _, err := c.Response().Hijack()
 	if err != nil {
 		return err
@@ -276,33 +276,33 @@
 		return c.NoContent(http.StatusConflict)
 	}
 	delete(s.objects, key)
-	s.announce()
+	s.notifyWatchers()
 	return c.NoContent(http.StatusOK)
 }
 
-// SetInstance adds or replaces a line of the instance list.
+// SetInstance adds or replaces an entry of the instance list.
 func (s *Server) SetInstance(in instances.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.list[in.Name] = in
-	s.snapshot()
+	s.recordSnapshot()
 }
 
-// RemoveInstance takes a line off the list.
+// RemoveInstance removes an entry from the instance list.
 func (s *Server) RemoveInstance(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.list, name)
-	s.snapshot()
+	s.recordSnapshot()
 }
 
-func (s *Server) snapshot() {
-	l := listed{at: time.Now(), list: []instances.Instance{}}
+func (s *Server) recordSnapshot() {
+	l := listSnapshot{at: time.Now(), list: []instances.Instance{}}
 	for _, in := range s.list {
 		l.list = append(l.list, in)
 	}
 	slices.SortFunc(l.list, func(a, b instances.Instance) int { return strings.Compare(a.Name, b.Name) })
-	s.visible = append(s.visible, l)
+	s.listSnapshots = append(s.listSnapshots, l)
 }
 
 func (s *Server) listInstances(c echo.Context) error {
@@ -311,13 +311,13 @@
 	if s.faults.Down {
 		return c.NoContent(http.StatusServiceUnavailable)
 	}
-	for len(s.visible) > 1 && time.Since(s.visible[1].at) >= s.lag {
-		s.visible = s.visible[1:]
+	for len(s.listSnapshots) > 1 && time.Since(s.listSnapshots[1].at) >= s.lag {
+		s.listSnapshots = s.listSnapshots[1:]
 	}
-	if len(s.visible) == 0 {
+	if len(s.listSnapshots) == 0 {
 		return c.JSON(http.StatusOK, []instances.Instance{})
 	}
-	return c.JSON(http.StatusOK, s.visible[0].list)
+	return c.JSON(http.StatusOK, s.listSnapshots[0].list)
 }
 
 func (s *Server) putInstance(c echo.Context) error {
@@ -354,13 +354,13 @@
 	}
 }
 
-// Counts is how the platform was used.
+// Counts holds the calls to the object API and its waiting watches.
 type Counts struct {
 	Calls    map[string]uint64 `json:"calls"`
 	Watching int               `json:"watching"`
 }
 
-// Counts returns the calls so far and the watches that wait now.
+// Counts returns the object calls so far, by method, and the watches waiting now.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -373,13 +373,13 @@
 
 func (s *Server) getCounts(c echo.Context) error { return c.JSON(http.StatusOK, s.Counts()) }
 
-// Limits of the weight store: loads a second and at once.
+// Limits of the weight store: loads per second and burst.
 const (
 	weightRate  = 4
 	weightBurst = 4
 )
 
-// reserveWeights lets a load begin unless the rate is exceeded.
+// reserveWeights admits a weight load unless the rate is exceeded.
 func (s *Server) reserveWeights(c echo.Context) error {
 	if !s.weights.Allow() {
 		return c.NoContent(http.StatusTooManyRequests)
