--- a/lab/standin/caller/caller.go
+++ b/lab/standin/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller stands in for the callers on the users' platform: it asks which
-// addresses to use and sends requests as they do.
+// Package caller stands in for the callers on the users' platform: it resolves
+// instance addresses and sends requests as they do.
 package caller
 
 import (
@@ -16,14 +16,14 @@
 
 // Request is one client attempt.
 type Request struct {
-	// ID is the attempt's own.
+	// ID is unique to the attempt.
 	ID, Host, Path, Key, Body string
 	// PromptTokens is the length of a model prompt, zero for a plain service.
 	PromptTokens int
 	Deadline     time.Duration
 }
 
-// Answer is what a caller got. Err tells that the answer is not whole.
+// Answer is the result of an attempt. If Err is set, the answer is incomplete.
 type Answer struct {
 	Status     int
 	Body, Seal string
@@ -31,10 +31,10 @@
 	Took       time.Duration
 }
 
-// answerTokens is the most that callers let a model write.
+// answerTokens is the maximum number of output tokens that callers request.
 const answerTokens = 100
 
-// Caller sends requests over connections that it keeps.
+// Caller sends requests over persistent connections.
 type Caller struct{ http *http.Client }
 
 // New returns a caller that keeps its connections open until the other end closes them.
@@ -42,18 +42,18 @@
 	return &Caller{http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}}}
 }
 
-// Close drops the connections that are idle.
+// Close closes the idle connections.
 func (c *Caller) Close() { c.http.CloseIdleConnections() }
 
 // Send makes one attempt at an instance.
 func (c *Caller) Send(ctx context.Context, addr string, r Request) (a Answer) {
-	began := time.Now()
-	defer func() { a.Took = time.Since(began) }()
+	start := time.Now()
+	defer func() { a.Took = time.Since(start) }()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+r.Path, strings.NewReader(r.Body))
 	if err != nil {
 		return Answer{Err: err}
 	}
-	// Without it the transport sends an attempt again whose connection closed.
+	// With GetBody set, the transport would resend an attempt whose connection closed.
 	req.GetBody = nil
 	req.Host = r.Host
 	req.Header.Set("X-Request-Id", r.ID)
@@ -90,7 +90,7 @@
 	return out.Addresses, err
 }
 
-// Ready reports whether an instance says that it can serve.
+// Ready reports whether an instance's readiness check succeeds.
 func (c *Caller) Ready(ctx context.Context, addr string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/readiness", nil)
 	if err != nil {
@@ -104,7 +104,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// NotRun reports whether a status promises that the request has not run.
+// NotRun reports whether a status guarantees that the request has not run.
 func NotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
--- a/lab/standin/serviceserver/server.go
+++ b/lab/standin/serviceserver/server.go
@@ -1,5 +1,5 @@
-// Package serviceserver stands in for a plain service. It counts its runs, so
-// that a test can tell a repeated run from a repeated answer.
+// Package serviceserver stands in for a plain service. It counts the requests it
+// runs, so that a test can tell a repeated run from a repeated answer.
 package serviceserver
 
 import (
@@ -35,7 +35,7 @@
 	return &Server{name: name, addr: addr, counter: counter}
 }
 
-// Answer is what every call returns.
+// Answer is the body of every answer.
 type Answer struct {
 	Service string `json:"service"`
 	Run     uint64 `json:"run"`
