--- a/control/follow/follow.go
+++ b/control/follow/follow.go
@@ -113,7 +113,7 @@
 // ModuleInfo implements auburnmoor.Module.
 func (*Follower) ModuleInfo() auburnmoor.ModuleInfo {
 	return auburnmoor.ModuleInfo{
-		ID: ID, Requires: []auburnmoor.ModuleID{members.ID, peerlink.ID, catalog.Port}, OnRequest: true,
+		ID: ID, Requires: []auburnmoor.ModuleID{members.ID, peerlink.ID, catalog.Port}, OptIn: true,
 		New: func() auburnmoor.Module { return new(Follower) },
 	}
 }
@@ -138,7 +138,7 @@
 	f.confirmations, f.answeredAt = watch.NewConfirmations(), map[string]time.Duration{}
 	f.inbox = ring.New[peerConfig]("catalog.inbox", inboxSize)
 	f.offers = ring.New[offer]("catalog.newer", inboxSize)
-	f.members.Carry(f.addToGossip)
+	f.members.AddToGossip(f.addToGossip)
 	f.link.Handle(f.receive)
 	return nil
 }
--- a/serve/relay/relay.go
+++ b/serve/relay/relay.go
@@ -96,7 +96,7 @@
 // ModuleInfo implements auburnmoor.Module.
 func (*Relay) ModuleInfo() auburnmoor.ModuleInfo {
 	return auburnmoor.ModuleInfo{
-		ID: ID, Requires: []auburnmoor.ModuleID{follow.ID, loads.ID, members.ID, quarantine.ID, backend.Port}, OnRequest: true,
+		ID: ID, Requires: []auburnmoor.ModuleID{follow.ID, loads.ID, members.ID, quarantine.ID, backend.Port}, OptIn: true,
 		New: func() auburnmoor.Module { return new(Relay) },
 	}
 }
@@ -287,7 +287,7 @@
 	if len(out) == 0 {
 		out = ready
 	}
-	return r.loads.Present(out), len(share)
+	return r.loads.Available(out), len(share)
 }
 
 // inRotation returns the servers neither ejected nor suspended; r.mu must be held.
