--- a/e2e/platform_test.go
+++ b/e2e/platform_test.go
@@ -422,7 +422,9 @@
 		_, err = bufio.NewReader(resp.Body).ReadString('\n')
 		Expect(err).NotTo(HaveOccurred())
 		Expect(resp.Body.Close()).To(Succeed())
-		Eventually(func() int { return s.engines[0].Left() + s.engines[1].Left() + s.engines[2].Left() }, "3s", "20ms").Should(BeNumerically(">=", 1))
+		Eventually(func() int {
+			return s.engines[0].Disconnects() + s.engines[1].Disconnects() + s.engines[2].Disconnects()
+		}, "3s", "20ms").Should(BeNumerically(">=", 1))
 	})
 
 	// A leaving server still gets requests, and cuts them off when it ends.
@@ -473,7 +475,7 @@
 	// Requests are refused while most servers stand ready: the store is away, some servers
 	// leave, and each instance learned of each of them by requests of its own callers.
 	It("passes over a server at all instances that one of them saw turn work away", func() {
-		leaving := s.server("a0", "registry", workerserver.Config{Always: workerserver.Shed})
+		leaving := s.server("a0", "registry", workerserver.Config{DefaultFault: workerserver.Shed})
 		defer leaving.Close()
 		defer s.store.Delete("servers", "a0")
 		look := func(entry, n int) {
--- a/e2e/poison_test.go
+++ b/e2e/poison_test.go
@@ -52,7 +52,7 @@
 	var s *estate
 	BeforeAll(func() {
 		s = newEstateOf(8, workerserver.Config{
-			Events: streamEvents, EventPause: 20 * time.Millisecond, Memory: engineMemory, CrashOn: poisonBody, BackAfter: 1500 * time.Millisecond,
+			Events: streamEvents, EventPause: 20 * time.Millisecond, Memory: engineMemory, CrashOn: poisonBody, RestartAfter: 1500 * time.Millisecond,
 		})
 	})
 	AfterAll(func() { s.close() })
--- a/lab/soak/site.go
+++ b/lab/soak/site.go
@@ -89,11 +89,11 @@
 	defer s.mu.Unlock()
 	v := &server{id: fmt.Sprintf("s%03d", s.made), service: service, dataCentre: fmt.Sprintf("dc-%d", s.made%dataCentres)}
 	s.made++
-	cfg := workerserver.Config{ID: v.id, Addr: "127.0.0.1:0", Always: s.mutant.answers()}
+	cfg := workerserver.Config{ID: v.id, Addr: "127.0.0.1:0", DefaultFault: s.mutant.answers()}
 	if service == modelService {
 		cfg.Events, cfg.EventPause, cfg.Memory, cfg.KeepReserved = events, eventPause, engineMemory, s.mutant == KeepsMemory
-		cfg.CrashOn, cfg.BackAfter = deadlyBody, crashedFor
-		cfg.OnCrash, cfg.OnBack = func() { v.link.refuse() }, func() { v.link.listen() }
+		cfg.CrashOn, cfg.RestartAfter = deadlyBody, crashedFor
+		cfg.OnCrash, cfg.OnRestart = func() { v.link.refuse() }, func() { v.link.listen() }
 	}
 	v.stand = workerserver.New(cfg)
 	if err := v.stand.Start(); err != nil {
--- a/lab/standin/workerserver/workerserver.go
+++ b/lab/standin/workerserver/workerserver.go
@@ -65,13 +65,13 @@
 	Memory int64
 	// CrashOn crashes the server, with all requests it runs, when it runs a request whose
 	// body contains this text; empty disables it. The server restarts under the same ID
-	// and address after BackAfter.
-	CrashOn   string
-	BackAfter time.Duration
-	// OnCrash and OnBack, if set, are called at the crash and after the restart.
-	OnCrash, OnBack func()
-	// Always is the fault of each answer that has no injected one; empty for none.
-	Always Fault
+	// and address after RestartAfter.
+	CrashOn      string
+	RestartAfter time.Duration
+	// OnCrash and OnRestart, if set, are called at the crash and after the restart.
+	OnCrash, OnRestart func()
+	// DefaultFault is the fault of each answer that has no injected one; empty for none.
+	DefaultFault Fault
 	// KeepReserved ignores release orders and the expiry of reservations.
 	KeepReserved bool
 }
@@ -135,7 +135,7 @@
 	_ = srv.Close()
 }
 
-// crash stops the server with all requests it runs and restarts it after BackAfter.
+// crash stops the server with all requests it runs and restarts it after RestartAfter.
 func (s *Server) crash() {
 	s.mu.Lock()
 	s.crashes++
@@ -145,7 +145,7 @@
 		s.cfg.OnCrash()
 	}
 	_ = srv.Close()
-	time.AfterFunc(s.cfg.BackAfter, func() {
+	time.AfterFunc(s.cfg.RestartAfter, func() {
 		s.mu.Lock()
 		closed := s.closed
 		s.mu.Unlock()
@@ -153,8 +153,8 @@
 			return
 		}
 		_ = s.Start()
-		if s.cfg.OnBack != nil {
-			s.cfg.OnBack()
+		if s.cfg.OnRestart != nil {
+			s.cfg.OnRestart()
 		}
 	})
 }
@@ -180,8 +180,8 @@
 	s.faults = nil
 }
 
-// Left counts the streams whose caller disconnected before their end.
-func (s *Server) Left() int {
+// Disconnects counts the streams whose caller disconnected before their end.
+func (s *Server) Disconnects() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.disconnects
@@ -245,7 +245,7 @@
 func (s *Server) request(w http.ResponseWriter, r *http.Request) {
 	f := popFault(&s.mu, &s.faults)
 	if f == "" {
-		f = s.cfg.Always
+		f = s.cfg.DefaultFault
 	}
 	if f == Early {
 		s.answerEarly(w, r)
