--- a/lab/soak/site.go
+++ b/lab/soak/site.go
@@ -89,11 +89,11 @@
 	defer s.mu.Unlock()
 	v := &server{id: fmt.Sprintf("s%03d", s.created), service: service, dataCentre: fmt.Sprintf("dc-%d", s.created%dataCentreCount)}
 	s.created++
-	cfg := workerserver.Config{ID: v.id, Addr: "127.0.0.1:0", Always: s.mutant.workerFault()}
+	cfg := workerserver.Config{ID: v.id, Addr: "127.0.0.1:0", DefaultFault: s.mutant.workerFault()}
 	if service == modelService {
 		cfg.Events, cfg.EventPause, cfg.Memory, cfg.KeepReserved = eventCount, eventPause, engineMemory, s.mutant == KeepsMemory
-		cfg.CrashOn, cfg.BackAfter = deadlyBody, crashDuration
-		cfg.OnCrash, cfg.OnBack = func() { v.link.refuse() }, func() { v.link.reopen() }
+		cfg.CrashOn, cfg.RestartAfter = deadlyBody, crashDuration
+		cfg.OnCrash, cfg.OnRestart = func() { v.link.refuse() }, func() { v.link.reopen() }
 	}
 	v.standin = workerserver.New(cfg)
 	if err := v.standin.Start(); err != nil {
