--- a/decide/claim/shard.go
+++ b/decide/claim/shard.go
@@ -267,8 +267,8 @@
 	}
 }
 
-// recoverAfter schedules a new read of the ledger. The outcome of the last write is
-// unknown, and only the stored segments can tell.
+// recoverAfter schedules a new read of the ledger, which also shows whether a write of
+// unknown outcome took effect.
 func (s *shard) recoverAfter(now time.Duration, d time.Duration) {
 	s.state = idle
 	s.retryAt = now + d
@@ -353,7 +353,7 @@
 	k := KeyOf(res.Customer, res.Key)
 	r := s.keys[k]
 	if res.NotRun {
-		// The entry instance gave up before the claim was committed.
+		// The instance that received the request gave up before the claim was committed.
 		s.waiting = slices.DeleteFunc(s.waiting, func(w waiter) bool { return w.claim.RequestId == res.RequestId })
 	}
 	if !s.owned || r == nil || r.entry.RequestId != res.RequestId || r.entry.State != peerpb.LedgerState_LEDGER_CLAIMED {
--- a/decide/dispatch/node.go
+++ b/decide/dispatch/node.go
@@ -20,7 +20,7 @@
 	QuoteTimeout time.Duration
 	// MaxRounds bounds the rounds of candidates asked when all refuse.
 	MaxRounds int
-	// RetryShare is the maximum of retries per success, EjectShare the maximum
+	// RetryShare is the maximum number of retries per success, EjectShare the maximum
 	// share of engines ejected.
 	RetryShare float64
 	EjectShare float64
--- a/decide/dispatch/owner.go
+++ b/decide/dispatch/owner.go
@@ -55,7 +55,8 @@
 }
 
 // setLeaving starts or stops draining an engine. A draining engine takes no new
-// work, and the requests waiting for it are rejected to be placed elsewhere.
+// work, and the requests waiting for it are rejected, so that their entries place
+// them elsewhere.
 func (n *Node) setLeaving(now time.Duration, name string, leaving bool) {
 	if leaving == n.leaving[name] {
 		return
--- a/decide/dispatch/router.go
+++ b/decide/dispatch/router.go
@@ -336,7 +336,7 @@
 	}
 }
 
-// checkRequest handles the timers of a request that have expired.
+// checkRequest handles the expired timers of a request.
 func (n *Node) checkRequest(now time.Duration, r *request) {
 	if now >= r.deadline {
 		n.onDeadline(now, r)
--- a/decide/dispatch/router_test.go
+++ b/decide/dispatch/router_test.go
@@ -14,9 +14,9 @@
 func TestDispatch(t *testing.T) { testkit.Suite(t, "dispatch") }
 
 var _ = Describe("placing a request while engines change owners", func() {
-	// A caller gets "no backend" although all engines are healthy: an instance
-	// that has just joined and taken over engines is asked for a quote before its
-	// first load report, and the entry takes its reply for a final refusal.
+	// Guards against "no backend" errors while all engines are healthy: an instance
+	// that had just joined and taken over engines was asked for a quote before its
+	// first load report, and the entry took its reply for a final refusal.
 	It("waits for the new owner's first report", func() {
 		n := NewNode("self", DefaultConfig(), 1)
 		n.Step(0, Directory{Engines: []EngineInfo{{Name: "e", Models: []string{"m"}, Owner: "self"}}})
--- a/decide/knowledge/knowledge.go
+++ b/decide/knowledge/knowledge.go
@@ -74,11 +74,11 @@
 }
 
 // State derives the state of a copy.
-func (p Policy) State(now time.Duration, h Copy) State {
+func (p Policy) State(now time.Duration, c Copy) State {
 	switch {
-	case !h.Exists:
+	case !c.Exists:
 		return Unknown
-	case h.Superseded || !h.EverConfirmed || now-h.ConfirmedAt > p.ValidFor:
+	case c.Superseded || !c.EverConfirmed || now-c.ConfirmedAt > p.ValidFor:
 		return Old
 	default:
 		return Confirmed
--- a/decide/knowledge/knowledge_test.go
+++ b/decide/knowledge/knowledge_test.go
@@ -15,8 +15,8 @@
 
 var _ = Describe("the state of a copy of store content", func() {
 	p := knowledge.Policy{ValidFor: 4 * time.Second}
-	DescribeTable("is", func(now time.Duration, h knowledge.Copy, want knowledge.State) {
-		Expect(p.State(now, h)).To(Equal(want))
+	DescribeTable("is", func(now time.Duration, c knowledge.Copy, want knowledge.State) {
+		Expect(p.State(now, c)).To(Equal(want))
 	},
 		Entry("unknown without a copy", time.Second, knowledge.Copy{}, knowledge.Unknown),
 		Entry("old if never confirmed", time.Second, knowledge.Copy{Exists: true}, knowledge.Old),
--- a/decide/member/neighbours.go
+++ b/decide/member/neighbours.go
@@ -94,9 +94,9 @@
 	return lower < silenceReporters
 }
 
-// silenceMargin is how long before the report of its cell peers a member was certainly
-// silent. It was for about two seconds, but late packets make signs of life look newer.
-// Older signs of life, which arrive late through other members, do not revive it.
+// A silence report voids all signs of life older than silenceMargin, so that those which arrive
+// late through other members do not revive the member. The margin is well below the silence
+// itself, some two seconds, because late packets make signs of life look newer.
 const silenceMargin = 200 * time.Millisecond
 
 // reportWindow is how long one peer's silence report stays valid for a second one to confirm it.
--- a/decide/member/table.go
+++ b/decide/member/table.go
@@ -48,7 +48,7 @@
 	heard time.Duration
 	// changedAt is when the static part last changed; it counts as an update for updateWindow.
 	changedAt time.Duration
-	// sends counts the messages that carried the entry since.
+	// sends counts the messages that carried the entry since changedAt.
 	sends int
 	// distant marks a member of another cell.
 	distant bool
--- a/decide/place/place_test.go
+++ b/decide/place/place_test.go
@@ -32,8 +32,8 @@
 		}
 	})
 
-	// One of three instances owns five of six engines and most of the scheduling
-	// work, because plain rendezvous hashing is uneven for few keys.
+	// Guards against one of three instances that owns five of six engines and most of
+	// the scheduling work: plain rendezvous hashing is uneven for few keys.
 	It("assigns an even share to every member, and moves few keys when one leaves", func() {
 		keys, all := names("engine-", 20), names("m", 7)
 		before := place.Assign(keys, all)
--- a/decide/poison/doc.go
+++ b/decide/poison/doc.go
@@ -1,8 +1,8 @@
 // Package poison detects requests that crash the backend servers that run them (queries of
 // death) from the crashes seen by all instances.
 //
-// A server runs requests in batches, so a request that crashes it also ends some twenty
-// others, each of which looks like the cause. Only the actual cause crashes the next server
+// A server runs requests in batches, so a request that crashes it also interrupts some
+// twenty others, each of which looks like the cause. Only the actual cause crashes the next server
 // too. So crashes are counted per request, over all instances and client attempts:
 //
 //   - Only successive crashes count: the request was sent after the previous crash. A
--- a/decide/poison/table.go
+++ b/decide/poison/table.go
@@ -122,7 +122,7 @@
 // Len returns the number of requests in the table.
 func (t *Table) Len() int { return len(t.records) }
 
-// Exits returns the number of recent exits of servers.
+// ExitCount returns the number of recent exits of servers.
 func (t *Table) ExitCount() int { return len(t.exits) }
 
 // AddCrash records a crash that this instance detected.
--- a/decide/poison/table_test.go
+++ b/decide/poison/table_test.go
@@ -94,7 +94,7 @@
 		Expect(t.Assess(propagated(last), key(9), fleetSize).Verdict).To(Equal(poison.Poisonous))
 	})
 
-	// Both requests crash servers, and each has one crash without the other.
+	// Both requests crash servers.
 	It("are both refused when each has a crash without the other", func() {
 		addCrashes(key(1), 1, 2, 4)
 		last := addCrashes(key(9), 1, 2, 5)
--- a/decide/rollout/rollout.go
+++ b/decide/rollout/rollout.go
@@ -24,7 +24,7 @@
 	LoadTimeout time.Duration
 }
 
-// DefaultConfig returns the values of the daemon.
+// DefaultConfig returns the values that the daemon uses.
 func DefaultConfig() Config {
 	return Config{MaxPerEngine: 4, MaxLoads: 4, LoadInterval: 100 * time.Millisecond, LoadTimeout: 30 * time.Second}
 }
--- a/decide/sched/engine.go
+++ b/decide/sched/engine.go
@@ -23,8 +23,8 @@
 	Window time.Duration
 	// Expiry is the time after which a reservation expires unless renewed.
 	Expiry time.Duration
-	// Headroom is the share of the KV memory reserved for requests smaller than
-	// itself, so that long requests cannot block short ones.
+	// Headroom is the share of the KV memory reserved for requests that need no
+	// more than this share, so that long requests cannot block short ones.
 	Headroom float64
 	// DeferrableShare is the share of its time limit within which a deferrable
 	// request must be predicted to finish. The rest is a reserve for later
--- a/decide/sched/engine_test.go
+++ b/decide/sched/engine_test.go
@@ -65,9 +65,9 @@
 		Expect(e.Len()).To(BeZero())
 	})
 
-	// An admitted long request misses its deadline because many short requests,
-	// each with little effect, overtake it. It happens if admission checks only
-	// the deadline of the new request.
+	// Guards against an admitted long request that misses its deadline because many
+	// short ones, each with little effect, overtake it. It happens if admission
+	// checks only the deadline of the new request.
 	It("refuses a new request that would make an admitted one late", func() {
 		e := newEngine(sched.DefaultConfig())
 		Expect(e.Reserve(0, "a", job("review", 80_000, 10*time.Second)).Refusal).To(Equal(result.OK))
@@ -94,9 +94,9 @@
 		Expect(e.Grants(10 * time.Second)).To(HaveLen(1))
 	})
 
-	// Short requests wait 15 s behind a gang's part on an engine predicted to be
-	// idle: the part is granted with the key of its reservation, and its work is
-	// counted as done while it waits for the preceding part.
+	// Guards against short requests that wait 15 s behind a gang's part on an engine
+	// predicted to be idle: the part was granted with the key of its reservation, and
+	// its work was counted as done while it waited for the preceding part.
 	It("computes a gang part's key and progress from when it is ready, not from its reservation", func() {
 		e := newEngine(sched.DefaultConfig())
 		part := job("p#1", 40_000, time.Hour)
@@ -154,9 +154,9 @@
 		Expect(e.Quote(0, j).Cached).To(BeZero())
 	})
 
-	// Requests queue on one engine while others are idle: the engine evicted a
-	// prefix, the event was lost, and its owner keeps predicting the hit. The
-	// first request that misses must correct the index.
+	// Guards against requests that queue on one engine while others are idle: the
+	// engine evicted a prefix, the event was lost, and its owner kept predicting the
+	// hit. The first request that misses must correct the index.
 	It("forgets cached blocks after a request missed them", func() {
 		e := newEngine(sched.DefaultConfig())
 		j := job("r", 3_000, time.Minute)
--- a/decide/sched/share.go
+++ b/decide/sched/share.go
@@ -34,12 +34,12 @@
 	return u.tokens * math.Exp(-float64(now-u.updatedAt)/float64(usageTimeConstant))
 }
 
-func (b *usageTracker) charge(now time.Duration, customer string, weight int64, tokens int64) {
-	u := b.customers[customer]
+func (t *usageTracker) charge(now time.Duration, customer string, weight int64, tokens int64) {
+	u := t.customers[customer]
 	if u == nil {
 		u = &customerUsage{customer: customer}
-		b.customers[customer] = u
-		b.order = append(b.order, u)
+		t.customers[customer] = u
+		t.order = append(t.order, u)
 	}
 	u.tokens = max(u.decayed(now), 0) + float64(tokens)
 	u.updatedAt = now
@@ -48,22 +48,22 @@
 
 // excess returns by how much the customer's share of the recent usage exceeds its
 // fair share, from 0 to 1. It is 0 for the only active customer.
-func (b *usageTracker) excess(now time.Duration, customer string, weight int64) float64 {
+func (t *usageTracker) excess(now time.Duration, customer string, weight int64) float64 {
 	total, weights := 0.0, 0.0
-	kept := b.order[:0]
-	for _, u := range b.order {
+	kept := t.order[:0]
+	for _, u := range t.order {
 		recent := u.decayed(now)
 		if recent < minActiveUsage && u.customer != customer {
-			delete(b.customers, u.customer)
+			delete(t.customers, u.customer)
 			continue
 		}
 		kept = append(kept, u)
 		total += recent
 		weights += u.weight
 	}
-	b.order = kept
-	u := b.customers[customer]
-	if u == nil || total == 0 || len(b.customers) < 2 {
+	t.order = kept
+	u := t.customers[customer]
+	if u == nil || total == 0 || len(t.customers) < 2 {
 		return 0
 	}
 	fairShare := float64(max(weight, 1)) / weights
--- a/decide/watch/confirmations.go
+++ b/decide/watch/confirmations.go
@@ -26,9 +26,9 @@
 const keepFor = 40 * time.Second
 
 // Record stores an entry if it is newer than the known one of that instance.
-func (c *Confirmations) Record(h Confirmation) {
-	if at, known := c.latest[h.By]; !known || h.At > at {
-		c.latest[h.By] = h.At
+func (c *Confirmations) Record(entry Confirmation) {
+	if at, known := c.latest[entry.By]; !known || entry.At > at {
+		c.latest[entry.By] = entry.At
 	}
 }
 
--- a/decide/watch/watch.go
+++ b/decide/watch/watch.go
@@ -1,7 +1,7 @@
 // Package watch decides which instances of a fleet watch the store of the platform. The
 // others make no calls to it and get its changes from those that do. An instance derives
-// whether it watches from the list of live instances and the age of the last answer of the
-// store that it knows of; there is no agreement and no election.
+// whether it watches from the list of live instances and the age of the newest store answer
+// known to it; there is no agreement and no election.
 //
 // If the lists of two instances differ, both may watch, which costs additional calls, or
 // neither, which Policy.StaleAfter bounds. Both cases are safe: content is adopted by its
@@ -114,9 +114,9 @@
 
 // Policy sets when instances that are not primary watch.
 type Policy struct {
-	// StaleAfter is the age of the last store answer of the instances ranked before this one
-	// at which the next in rank begins to watch. It covers the wait of a watch call without a
-	// change and the propagation by gossip.
+	// StaleAfter is the age of the last store answer, as known from the instances ranked before
+	// it, at which the first instance after the primary ones begins to watch. It covers the wait
+	// of a watch call without a change and the propagation by gossip.
 	StaleAfter time.Duration
 	// Step is the additional age per rank, so that instances begin one after the other. While
 	// a store is down, one more instance per data centre calls it in each Step.
--- a/decide/watch/watch_test.go
+++ b/decide/watch/watch_test.go
@@ -107,7 +107,7 @@
 	It("grow by one per data centre for each step without a store answer", func() {
 		members := fleet(60, 1)
 		p := watch.Policy{StaleAfter: 6 * time.Second, Step: time.Second}
-		due := func(age time.Duration) (n int) {
+		countWatching := func(age time.Duration) (n int) {
 			for i := range members {
 				if p.ShouldWatch(standing(i, members), age) {
 					n++
@@ -115,10 +115,10 @@
 			}
 			return n
 		}
-		Expect(due(0)).To(Equal(5))
-		Expect(due(6*time.Second - 1)).To(Equal(5))
-		Expect(due(6 * time.Second)).To(Equal(6))
-		Expect(due(15 * time.Second)).To(Equal(15))
+		Expect(countWatching(0)).To(Equal(5))
+		Expect(countWatching(6*time.Second - 1)).To(Equal(5))
+		Expect(countWatching(6 * time.Second)).To(Equal(6))
+		Expect(countWatching(15 * time.Second)).To(Equal(15))
 	})
 
 	It("wait only for instances ranked before them", func() {
@@ -235,9 +235,9 @@
 	for now := time.Duration(0); now < length; now += tick {
 		count := 0
 		for i, m := range members {
-			due := p.ShouldWatch(standings[i], confirmations[i].Age(now, standings[i].PrecededBy))
+			shouldWatch := p.ShouldWatch(standings[i], confirmations[i].Age(now, standings[i].PrecededBy))
 			switch {
-			case !due:
+			case !shouldWatch:
 				answerAt[i] = -1
 			case answerAt[i] < 0:
 				answerAt[i] = now + wait
@@ -245,13 +245,13 @@
 				confirmations[i].Record(watch.Confirmation{By: m.Name, At: now})
 				answerAt[i] = now + wait
 			}
-			if due {
+			if shouldWatch {
 				count++
 			}
 			for range 2 {
 				to := r.IntN(n)
-				for _, h := range confirmations[i].Newest(now, 8) {
-					confirmations[to].Record(h)
+				for _, entry := range confirmations[i].Newest(now, 8) {
+					confirmations[to].Record(entry)
 				}
 			}
 		}
@@ -276,8 +276,8 @@
 		Entry("6", 6, 3), Entry("22", 22, 5), Entry("74", 74, 3), Entry("295", 295, 5),
 	)
 
-	// The store rejects all watching instances while it serves the others. Without successors
-	// the fleet would send requests to removed servers for that time.
+	// Guards against requests sent to removed servers while the store rejects all watching
+	// instances and serves the others: without successors nobody learns of the removal.
 	DescribeTable("finds successors one after the other", func(n, dataCentres int) {
 		members := fleet(n, dataCentres)
 		first := primaries(members)
