--- a/lab/bench/bench_test.go
+++ b/lab/bench/bench_test.go
@@ -109,7 +109,7 @@
 		l := bench.NewLoop(site)
 		mix := bench.TePuna
 		rate := mix.Capacity(enginecore.Assumed(1), engines) * rapid.Float64Range(0.3, 2.5).Draw(t, "load")
-		for i, a := range mix.Generate(uint64(rapid.IntRange(1, 1000).Draw(t, "seed")), rate, 20*time.Second, bench.Everything) {
+		for i, a := range mix.Generate(uint64(rapid.IntRange(1, 1000).Draw(t, "seed")), rate, 20*time.Second, bench.AllSources) {
 			l.Submit(i%entries, a)
 		}
 		faultyEngine := fmt.Sprintf("e%d", rapid.IntRange(0, engines-1).Draw(t, "faulty"))
@@ -132,8 +132,8 @@
 		if s.Unanswered > 0 || s.Late > 0 {
 			t.Fatalf("%d unanswered, %d late", s.Unanswered, s.Late)
 		}
-		if s.Twice > 0 {
-			t.Fatalf("%d non-repeatable requests were dispatched twice", s.Twice)
+		if s.RepeatedDispatches > 0 {
+			t.Fatalf("%d non-repeatable requests were dispatched twice", s.RepeatedDispatches)
 		}
 		if s.Duplicates > 0 {
 			t.Fatalf("%d requests had more than one outcome", s.Duplicates)
--- a/lab/bench/bounds.go
+++ b/lab/bench/bounds.go
@@ -62,7 +62,7 @@
 	atMost("messages", s.Messages, b.Messages)
 	atMost("bytes", s.Bytes, b.Bytes)
 	for name, n := range map[string]int64{
-		"late": int64(s.Late), "unanswered": int64(s.Unanswered), "twice": int64(s.Twice),
+		"late": int64(s.Late), "unanswered": int64(s.Unanswered), "twice": int64(s.RepeatedDispatches),
 		"duplicates": int64(s.Duplicates), "kv_reserved_left": s.Reserved,
 	} {
 		if n != 0 {
--- a/lab/bench/loop.go
+++ b/lab/bench/loop.go
@@ -158,7 +158,7 @@
 	l.schedule(a.At, func(now time.Duration) {
 		name := l.entryNames[entry%len(l.entryNames)]
 		l.outcomes[a.Job.Id] = &Outcome{Arrival: a, At: now, entry: name}
-		l.deliver(now, name, dispatch.Arrive{Job: a.Job, Once: a.Once})
+		l.deliver(now, name, dispatch.Arrive{Job: a.Job, Once: a.NonRepeatable})
 	})
 }
 
--- a/lab/bench/summary.go
+++ b/lab/bench/summary.go
@@ -12,11 +12,12 @@
 	Factor   float64      `json:"factor"`
 	Requests int          `json:"requests"`
 	Classes  []ClassStats `json:"classes"`
-	// ShortP99MS is the p99 time to first token of short requests, AloneMS the
-	// same in a run without long prompts, and Slowdown their ratio.
-	ShortP99MS float64 `json:"short_p99_ms"`
-	AloneMS    float64 `json:"short_alone_p99_ms"`
-	Slowdown   float64 `json:"short_slowdown"`
+	// ShortP99MS is the p99 time to first token of short requests,
+	// ShortAloneP99MS the same in a run without long prompts, and Slowdown
+	// their ratio.
+	ShortP99MS      float64 `json:"short_p99_ms"`
+	ShortAloneP99MS float64 `json:"short_alone_p99_ms"`
+	Slowdown        float64 `json:"short_slowdown"`
 	// ShortWithin is the share of answered short requests whose first token
 	// came within 1 s.
 	ShortWithin float64 `json:"short_within_1s"`
@@ -29,18 +30,18 @@
 	Late       int     `json:"late"`
 	Unanswered int     `json:"unanswered"`
 	// Lost counts requests whose entry instance crashed.
-	Lost         int            `json:"lost"`
-	Refusals     map[string]int `json:"refusals"`
-	Failures     map[string]int `json:"failures"`
-	WorstLongMS  float64        `json:"worst_long_ms"`
-	Goodput      float64        `json:"goodput_tokens_per_s"`
-	WastedTokens int64          `json:"wasted_prefill_tokens"`
-	MemoryLeft   int64          `json:"kv_left"`
-	Reserved     int64          `json:"kv_reserved_left"`
-	RefusedP99MS float64        `json:"refused_p99_ms"`
-	Messages     float64        `json:"messages_per_request"`
-	Bytes        float64        `json:"bytes_per_request"`
-	Twice        int            `json:"non_repeatable_dispatched_twice"`
+	Lost               int            `json:"lost"`
+	Refusals           map[string]int `json:"refusals"`
+	Failures           map[string]int `json:"failures"`
+	WorstLongMS        float64        `json:"worst_long_ms"`
+	Goodput            float64        `json:"goodput_tokens_per_s"`
+	WastedTokens       int64          `json:"wasted_prefill_tokens"`
+	MemoryLeft         int64          `json:"kv_left"`
+	Reserved           int64          `json:"kv_reserved_left"`
+	RefusedP99MS       float64        `json:"refused_p99_ms"`
+	Messages           float64        `json:"messages_per_request"`
+	Bytes              float64        `json:"bytes_per_request"`
+	RepeatedDispatches int            `json:"non_repeatable_dispatched_twice"`
 	// Duplicates counts requests with more than one outcome.
 	Duplicates int `json:"duplicates"`
 }
@@ -54,11 +55,11 @@
 	P99MS    float64 `json:"p99_ms"`
 }
 
-// Everything selects every source of a mix.
-func Everything(Source) bool { return true }
+// AllSources selects every source of a mix.
+func AllSources(Source) bool { return true }
 
-// NoLong selects the sources whose prompts have at most 100k tokens.
-func NoLong(s Source) bool { return s.Max <= 100_000 }
+// ExcludeLongPrompts selects the sources whose prompts have at most 100k tokens.
+func ExcludeLongPrompts(s Source) bool { return s.Max <= 100_000 }
 
 // lateTolerance is the lateness that one tick and one hop can cause.
 const lateTolerance = 50 * time.Millisecond
@@ -66,14 +67,14 @@
 // Measure runs a scenario under a policy, and again without long prompts and
 // faults to compute the slowdown.
 func Measure(s Scenario, p Policy, set Settings) Summary {
-	l := Execute(s, p, set, Everything)
+	l := Execute(s, p, set, AllSources)
 	sum := Summarize(l)
 	sum.Scenario, sum.Policy, sum.Factor = s.Name, p.Name, set.Factor
 	alone := s
 	alone.Prepare = nil
-	sum.AloneMS = quantile(firstTokenTimes(Execute(alone, p, set, NoLong), Short), 0.99)
-	if sum.AloneMS > 0 {
-		sum.Slowdown = sum.ShortP99MS / sum.AloneMS
+	sum.ShortAloneP99MS = quantile(firstTokenTimes(Execute(alone, p, set, ExcludeLongPrompts), Short), 0.99)
+	if sum.ShortAloneP99MS > 0 {
+		sum.Slowdown = sum.ShortP99MS / sum.ShortAloneP99MS
 	}
 	return sum
 }
@@ -117,8 +118,8 @@
 		took := o.End - o.At
 		limit := time.Duration(o.Job.RemainingUs) * time.Microsecond
 		s.Duplicates += o.Duplicates
-		if o.Once && o.Dispatched > 1 && o.Job.Gang == 0 {
-			s.Twice++
+		if o.NonRepeatable && o.Dispatched > 1 && o.Job.Gang == 0 {
+			s.RepeatedDispatches++
 		}
 		switch {
 		case o.Lost:
