--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -53,8 +53,8 @@
 
 // Targets of a comparison run.
 const (
-	ThroughEntry Target = "entry"
-	StraightOn   Target = "direct"
+	ThroughEntry   Target = "entry"
+	DirectToEngine Target = "direct"
 )
 
 // lengthClass is a range of prompt lengths with an upper bound in tokens.
@@ -87,12 +87,12 @@
 	Answered int
 	// Wrong counts complete responses with unexpected content.
 	Wrong int
-	// Doubled counts responses that show a further execution of the same
+	// RepeatedExecutions counts responses that show a further execution of the same
 	// idempotency key.
-	Doubled int
-	Errors  map[string]int
-	First   map[string]*hdrhistogram.Histogram
-	Total   *hdrhistogram.Histogram
+	RepeatedExecutions int
+	Errors             map[string]int
+	First              map[string]*hdrhistogram.Histogram
+	Total              *hdrhistogram.Histogram
 }
 
 func newResult() *Result {
@@ -112,7 +112,7 @@
 // once; errors do not count.
 func (r *Report) Failed() bool {
 	for _, x := range r.Results {
-		if x.Wrong > 0 || x.Doubled > 0 {
+		if x.Wrong > 0 || x.RepeatedExecutions > 0 {
 			return true
 		}
 	}
@@ -131,7 +131,7 @@
 func Run(ctx context.Context, o Options) (*Report, error) {
 	r := &runner{o: o, client: newClient(o), bodies: map[string]string{}, report: &Report{Options: o, Results: map[Target]*Result{ThroughEntry: newResult()}}}
 	if o.Direct != "" {
-		r.report.Results[StraightOn] = newResult()
+		r.report.Results[DirectToEngine] = newResult()
 	}
 	began := time.Now()
 	err := r.send(ctx)
@@ -185,7 +185,7 @@
 	}
 	req := request{n: n, target: ThroughEntry, tokens: tokens}
 	if r.o.Direct != "" && n%2 == 1 {
-		req.target = StraightOn
+		req.target = DirectToEngine
 	}
 	if r.o.Service != "" {
 		req.key = randomWord(rnd)
@@ -218,7 +218,7 @@
 		return
 	}
 	var a callResult
-	if req.target == StraightOn {
+	if req.target == DirectToEngine {
 		a = r.client.completeDirect(ctx, req)
 	} else {
 		a = r.client.complete(ctx, req)
@@ -256,7 +256,7 @@
 		r.record(req, a)
 		if a.err == "" && req.key != "" {
 			if other, ok := r.bodies[req.key]; ok && other != a.body {
-				r.report.Results[ThroughEntry].Doubled++
+				r.report.Results[ThroughEntry].RepeatedExecutions++
 			}
 			r.bodies[req.key] = a.body
 		}
--- a/lab/load/report.go
+++ b/lab/load/report.go
@@ -24,12 +24,12 @@
 
 // Totals holds the request counts of one target.
 type Totals struct {
-	Target   string         `json:"target"`
-	Sent     int            `json:"sent"`
-	Answered int            `json:"answered"`
-	Wrong    int            `json:"wrong"`
-	Doubled  int            `json:"doubled"`
-	Errors   map[string]int `json:"errors"`
+	Target             string         `json:"target"`
+	Sent               int            `json:"sent"`
+	Answered           int            `json:"answered"`
+	Wrong              int            `json:"wrong"`
+	RepeatedExecutions int            `json:"doubled"`
+	Errors             map[string]int `json:"errors"`
 }
 
 // Summary is the report in its JSON form.
@@ -55,7 +55,7 @@
 	for _, t := range slices.Sorted(maps.Keys(r.Results)) {
 		x := r.Results[t]
 		answered += x.Answered
-		s.Totals = append(s.Totals, Totals{Target: string(t), Sent: x.Sent, Answered: x.Answered, Wrong: x.Wrong, Doubled: x.Doubled, Errors: x.Errors})
+		s.Totals = append(s.Totals, Totals{Target: string(t), Sent: x.Sent, Answered: x.Answered, Wrong: x.Wrong, RepeatedExecutions: x.RepeatedExecutions, Errors: x.Errors})
 		for _, c := range lengthClasses {
 			if h := x.First[c.Name]; h != nil {
 				s.First = append(s.First, newLine(string(t), c.Name, h))
@@ -81,7 +81,7 @@
 	fmt.Fprintf(w, "%.1f s, %.0f answered a second, %d not sent\n", s.Seconds, s.PerSecond, s.NotSent)
 	fmt.Fprintln(w, "TARGET\tSENT\tANSWERED\tWRONG\tDOUBLED\tERRORS")
 	for _, t := range s.Totals {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%v\n", t.Target, t.Sent, t.Answered, t.Wrong, t.Doubled, t.Errors)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%v\n", t.Target, t.Sent, t.Answered, t.Wrong, t.RepeatedExecutions, t.Errors)
 	}
 	for _, part := range []struct {
 		name  string
