--- a/cli/soak.go
+++ b/cli/soak.go
@@ -51,7 +51,7 @@
 }
 
 func (c *soakCmd) plans() ([]soak.Plan, error) {
-	if c.Mutant != "" && !soak.Mutant(c.Mutant).Known() {
+	if c.Mutant != "" && !soak.Mutant(c.Mutant).Valid() {
 		return nil, errors.Newf("unknown mutant %q, there are %v", c.Mutant, soak.Mutants)
 	}
 	if c.Replay != "" {
@@ -116,7 +116,7 @@
 	for i := 0; i < len(p.Faults) && e.ctx.Err() == nil; {
 		less := p.Without(i)
 		r, err := c.once(e, less, filepath.Join(c.Dir, fmt.Sprintf("seed-%d-without-%d-of-%d", p.Seed, i, len(p.Faults))))
-		if err != nil || !r.Broke(promise) {
+		if err != nil || !r.Violated(promise) {
 			i++
 			continue
 		}
--- a/lab/soak/mutant.go
+++ b/lab/soak/mutant.go
@@ -37,8 +37,8 @@
 // Mutants lists all mutants.
 var Mutants = []Mutant{HalfAnswers, RunsDenied, LateConfig, DropsRoute, KeepsEntry, KillsForTerm, LateAnswers, KeepsMemory, ForgetsCrashes, StaysDown}
 
-// Known reports whether m is one of Mutants.
-func (m Mutant) Known() bool { return slices.Contains(Mutants, m) }
+// Valid reports whether m is one of Mutants.
+func (m Mutant) Valid() bool { return slices.Contains(Mutants, m) }
 
 // mutantDelay is the delay that late mutants add; it exceeds every time bound.
 const mutantDelay = 6 * time.Second
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -30,8 +30,8 @@
 	Violations       []Violation
 }
 
-// Broke reports whether the run violated a promise.
-func (r Result) Broke(p Promise) bool {
+// Violated reports whether the run violated a promise.
+func (r Result) Violated(p Promise) bool {
 	return slices.ContainsFunc(r.Violations, func(v Violation) bool { return v.Promise == p })
 }
 
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -90,6 +90,6 @@
 	})
 
 	It("detects a configuration that takes effect too late", func() {
-		Expect(play(draw(3), soak.LateConfig).Broke(soak.InForce)).To(BeTrue())
+		Expect(play(draw(3), soak.LateConfig).Violated(soak.InForce)).To(BeTrue())
 	})
 })
