--- a/peerpb/doc.go
+++ b/peerpb/doc.go
@@ -1,5 +1,6 @@
-// Package peerpb holds the generated messages that instances exchange.
+// Package peerpb contains the generated protobuf messages that instances
+// exchange.
 //
-// The decision packages use these types directly, so that a message is the
-// same value in a test in virtual time and on the wire.
+// The decision packages use these types directly, so tests in virtual time
+// process the same messages that are sent on the wire.
 package peerpb
