--- a/lab/bench/scenario.go
+++ b/lab/bench/scenario.go
@@ -161,7 +161,7 @@
 }
 
 // floodSource describes the requests of the flooding customer.
-var floodSource = Source{Kind: "flood", Share: 1, Min: 2_000, Max: 16_000, Output: 100, Limit: 30 * time.Second, Target: time.Second}
+var floodSource = Source{Kind: "flood", Fraction: 1, Min: 2_000, Max: 16_000, Output: 100, Limit: 30 * time.Second, Target: time.Second}
 
 func (r *Run) addFlood(from, to time.Duration) {
 	mix := Mix{Sources: []Source{floodSource}, Customers: []int64{1}}
--- a/lab/bench/workload.go
+++ b/lab/bench/workload.go
@@ -60,11 +60,11 @@
 // of both mixes.
 func (c Class) IsLong() bool { return c == Long || c == Huge }
 
-// Source describes one kind of request; Share is its fraction of the mix, Min and
+// Source describes one kind of request; Fraction is its share of the mix, Min and
 // Max bound the prompt tokens.
 type Source struct {
 	Kind          string
-	Share         float64
+	Fraction         float64
 	Min, Max      float64
 	Output        int64
 	Limit         time.Duration
@@ -82,10 +82,10 @@
 // reviews and appeal reviews; one request in fifty exceeds 100k tokens.
 var TePuna = Mix{
 	Sources: []Source{
-		{Kind: "essay-query", Share: 0.70, Min: 1_000, Max: 8_000, Output: 60, Limit: 30 * time.Second, Target: time.Second},
-		{Kind: "draft", Share: 0.20, Min: 4_000, Max: 32_000, Output: 200, Limit: time.Minute, Target: 2 * time.Second},
-		{Kind: "appeal-review", Share: 0.08, Min: 10_000, Max: 100_000, Output: 200, Limit: 10 * time.Minute, Target: 10 * time.Minute, NonRepeatable: true},
-		{Kind: "portfolio-review", Share: 0.02, Min: 100_001, Max: 1_000_000, Output: 200, Limit: 10 * time.Minute, Target: 10 * time.Minute},
+		{Kind: "essay-query", Fraction: 0.70, Min: 1_000, Max: 8_000, Output: 60, Limit: 30 * time.Second, Target: time.Second},
+		{Kind: "draft", Fraction: 0.20, Min: 4_000, Max: 32_000, Output: 200, Limit: time.Minute, Target: 2 * time.Second},
+		{Kind: "appeal-review", Fraction: 0.08, Min: 10_000, Max: 100_000, Output: 200, Limit: 10 * time.Minute, Target: 10 * time.Minute, NonRepeatable: true},
+		{Kind: "portfolio-review", Fraction: 0.02, Min: 100_001, Max: 1_000_000, Output: 200, Limit: 10 * time.Minute, Target: 10 * time.Minute},
 	},
 	Customers: []int64{8, 6, 4, 2, 1, 1, 1, 1, 1, 1},
 }
@@ -94,10 +94,10 @@
 // digests and whole-project reviews.
 var Thistlegate = Mix{
 	Sources: []Source{
-		{Kind: "triage", Share: 0.65, Min: 1_000, Max: 5_000, Output: 80, Limit: 20 * time.Second, Target: time.Second},
-		{Kind: "crash-digest", Share: 0.28, Min: 4_000, Max: 64_000, Output: 150, Limit: time.Minute, Target: 5 * time.Second},
-		{Kind: "ticket-history", Share: 0.05, Min: 10_000, Max: 100_000, Output: 150, Limit: 5 * time.Minute, Target: 5 * time.Minute},
-		{Kind: "milestone-review", Share: 0.02, Min: 100_001, Max: 1_000_000, Output: 300, Limit: 10 * time.Minute, Target: 10 * time.Minute},
+		{Kind: "triage", Fraction: 0.65, Min: 1_000, Max: 5_000, Output: 80, Limit: 20 * time.Second, Target: time.Second},
+		{Kind: "crash-digest", Fraction: 0.28, Min: 4_000, Max: 64_000, Output: 150, Limit: time.Minute, Target: 5 * time.Second},
+		{Kind: "ticket-history", Fraction: 0.05, Min: 10_000, Max: 100_000, Output: 150, Limit: 5 * time.Minute, Target: 5 * time.Minute},
+		{Kind: "milestone-review", Fraction: 0.02, Min: 100_001, Max: 1_000_000, Output: 300, Limit: 10 * time.Minute, Target: 10 * time.Minute},
 	},
 	Customers: []int64{8, 8, 4, 2, 1, 1, 1, 1, 1, 1},
 }
@@ -118,7 +118,7 @@
 func (m Mix) Capacity(a enginecore.Assumptions, engines int) float64 {
 	mean := 0.0
 	for _, s := range m.Sources {
-		mean += s.Share * ServiceTime(a, logUniformMean(s.Min, s.Max), s.Output).Seconds()
+		mean += s.Fraction * ServiceTime(a, logUniformMean(s.Min, s.Max), s.Output).Seconds()
 	}
 	return float64(engines) / mean
 }
@@ -137,7 +137,7 @@
 		r := rand.New(rand.NewPCG(seed, uint64(i)))
 		at := 0.0
 		for n := 0; ; n++ {
-			at += r.ExpFloat64() / (rate * s.Share)
+			at += r.ExpFloat64() / (rate * s.Fraction)
 			if at > d.Seconds() {
 				break
 			}
