--- a/lab/bench/workload.go
+++ b/lab/bench/workload.go
@@ -64,7 +64,7 @@
 // Max bound the prompt tokens.
 type Source struct {
 	Kind          string
-	Fraction         float64
+	Fraction      float64
 	Min, Max      float64
 	Output        int64
 	Limit         time.Duration
