--- a/control/loads/loads.go
+++ b/control/loads/loads.go
@@ -39,9 +39,9 @@
 	// Reports older than that are repaired by the next complete report if they were lost.
 	repeatWindow = 50 * time.Millisecond
 	// completeInterval is the interval of complete reports. It bounds how long a lost report
-	// leaves cell peers with a wrong load. Complete reports are also the heartbeat between
-	// them: two in a row may be lost, with no other message in between, before a peer is
-	// suspected after 2.2 s of silence.
+	// leaves cell peers with a wrong load. Complete reports are also the heartbeats of a
+	// cell: a peer is suspected after 2.2 s of silence, so two in a row may be lost even
+	// if no other message arrives in between.
 	completeInterval = 700 * time.Millisecond
 	// heartbeatEvery is the interval of heartbeats to other cells, in complete reports. Other
 	// cells suspect a member after 5 s, or when its cell reports it silent.
@@ -200,7 +200,7 @@
 }
 
 // Available returns the servers without those that are passed over because they rejected work
-// of this instance or of a cell peer.
+// of this instance or of a cell peer, or all of them if too few would remain.
 func (l *Loads) Available(servers []backends.Server) []backends.Server {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/control/loads/loads_test.go
+++ b/control/loads/loads_test.go
@@ -75,7 +75,7 @@
 		Expect(l.Total("s").Calls).To(Equal(int64(3)))
 	})
 
-	// Otherwise each instance (88 in one run) loses requests to learn that a server left.
+	// Guards against each of 88 instances losing requests to learn that a server left.
 	It("tell cell peers which servers rejected work", func() {
 		servers := []backends.Server{{ID: "s", Life: 1}, {ID: "t", Life: 1}, {ID: "u", Life: 1}, {ID: "v", Life: 1}}
 		Expect(l.Available(servers)).To(HaveLen(4))
--- a/decide/away/away_test.go
+++ b/decide/away/away_test.go
@@ -28,8 +28,8 @@
 	})
 
 	// Guards against refusing a third of all requests for two seconds while most servers
-	// are ready: with the store down, each of 88 instances learned anew every 1.5 s, by
-	// requests of its own callers, which servers had left.
+	// are ready: with the store down, each of 88 instances lost requests every 1.5 s to
+	// find out again which servers had left.
 	It("are passed over for longer each time while the store is silent, up to a bound", func() {
 		now := time.Duration(0)
 		var pauses []time.Duration
--- a/decide/backends/set.go
+++ b/decide/backends/set.go
@@ -14,7 +14,8 @@
 	// read of the list, which may lag by seconds, cannot bring the server back.
 	departureTTL = 30 * time.Second
 	// rewriteTimeout is the time within which servers rewrite entries that the store
-	// lost, as the platform specifies; a server still missing after it is gone.
+	// lost, as the platform specifies; a server whose entry is still missing
+	// afterwards has ended.
 	rewriteTimeout = 2 * time.Second
 	// staleEntryTTL exceeds the three missed heartbeats after which the store itself
 	// deletes the entry of a dead server.
--- a/decide/health/slow_test.go
+++ b/decide/health/slow_test.go
@@ -13,20 +13,20 @@
 var _ = Describe("the detection of slow servers", func() {
 	const expected = 45 * time.Millisecond
 	var (
-		pace *health.SlowDetector
-		r    *rand.Rand
+		detector *health.SlowDetector
+		r        *rand.Rand
 	)
 	// stream observes the gaps of one stream and reports whether its server was found slow.
 	stream := func(events int, factor float64) (slow bool) {
-		run := &health.GapWindow{}
+		window := &health.GapWindow{}
 		for range events {
 			gap := time.Duration(factor * float64(expected) * (1 + 1.5*r.Float64()))
-			slow = pace.Observe(run, gap, expected) || slow
+			slow = detector.Observe(window, gap, expected) || slow
 		}
 		return slow
 	}
 	BeforeEach(func() {
-		pace, r = &health.SlowDetector{}, rand.New(rand.NewPCG(1, 2))
+		detector, r = &health.SlowDetector{}, rand.New(rand.NewPCG(1, 2))
 		for range 20 {
 			Expect(stream(30, 1)).To(BeFalse())
 		}
@@ -39,18 +39,18 @@
 	})
 
 	It("ignores single long gaps", func() {
-		run := &health.GapWindow{}
+		window := &health.GapWindow{}
 		for i := range 60 {
 			gap := expected
 			if i%2 != 0 {
 				gap = 20 * expected
 			}
-			Expect(pace.Observe(run, gap, expected)).To(BeFalse())
+			Expect(detector.Observe(window, gap, expected)).To(BeFalse())
 		}
 	})
 
 	It("compares with the baseline of all servers", func() {
-		pace = &health.SlowDetector{}
+		detector = &health.SlowDetector{}
 		for range 20 {
 			Expect(stream(30, 5)).To(BeFalse())
 		}
@@ -58,7 +58,7 @@
 
 	It("needs a full window and an expected gap", func() {
 		Expect(stream(3, 10)).To(BeFalse())
-		Expect(pace.Observe(&health.GapWindow{}, time.Second, 0)).To(BeFalse())
+		Expect(detector.Observe(&health.GapWindow{}, time.Second, 0)).To(BeFalse())
 	})
 })
 
--- a/decide/spread/hold.go
+++ b/decide/spread/hold.go
@@ -20,7 +20,7 @@
 )
 
 // holdReason returns the mean unconfirmed prefill of the engines and why the prompt must
-// wait until it is lower. The limit is higher for smaller prompts, so that they pass
+// wait, or NoReason. The limit is higher for smaller prompts, so that they pass
 // larger ones that wait at other instances.
 func (c *chooser) holdReason(servers []backends.Server) (time.Duration, Reason) {
 	if !c.deep() || c.req.Waited >= c.req.MaxHold || c.exceedsEngine() && c.late() {
--- a/decide/spread/meter.go
+++ b/decide/spread/meter.go
@@ -33,11 +33,11 @@
 
 // Backlog is the mean predicted prefill pending on servers.
 func Backlog(servers []backends.Server, load func(string) Load) time.Duration {
-	read := make([]time.Duration, 0, len(servers))
+	pending := make([]time.Duration, 0, len(servers))
 	for _, s := range servers {
-		read = append(read, load(s.ID).Prefill)
+		pending = append(pending, load(s.ID).Prefill)
 	}
-	return meanOf(read)
+	return meanOf(pending)
 }
 
 // maxUnconfirmed caps what one engine contributes to UnconfirmedPrefill. A prompt of
@@ -51,8 +51,9 @@
 //
 // The mean of all servers of a large fleet stays high while a few prompts are prefilled
 // anywhere: no more prompts were admitted at a time on 69 engines than on 18, and 0.27
-// instead of 0.70 of the largest tenth were answered. The third of the servers with the
-// least prefill would include those that decode short answers, and delay them.
+// instead of 0.70 of the largest tenth were answered. A mean over the third of the
+// servers with the least prefill would include those that decode short answers, and the
+// prompts admitted by it would delay these answers.
 func UnconfirmedPrefill(servers []backends.Server, load func(string) Load) time.Duration {
 	others, writers := make([]time.Duration, 0, len(servers)), []time.Duration{}
 	for _, s := range servers {
--- a/decide/spread/plan.go
+++ b/decide/spread/plan.go
@@ -49,8 +49,8 @@
 	Instance string
 	// DataCentre is preferred among servers with equal load.
 	DataCentre string
-	// NoHelpers places a short prompt on a single engine, because helpers rejected the
-	// request before.
+	// NoHelpers places a short prompt on a single engine, as for a retry or for a request
+	// that may have crashed servers.
 	NoHelpers bool
 	// FirstTarget is the target for the time to the first event; zero if there is none.
 	FirstTarget time.Duration
@@ -234,7 +234,7 @@
 
 // predictPrefillEnd predicts when an engine has prefilled a part: the pass in progress
 // ends, then all pending prefill runs in the next one together with the part. An engine
-// that decodes makes a stride of token steps in each pass.
+// that decodes runs StepsPerPass token steps in each pass.
 func (c *chooser) predictPrefillEnd(s backends.Server, each time.Duration) time.Duration {
 	l := c.load(s.ID)
 	d := l.Prefill + each
--- a/decide/spread/roles.go
+++ b/decide/spread/roles.go
@@ -2,8 +2,8 @@
 
 import "github.com/auburnmoor/auburnmoor/decide/backends"
 
-// roles divides engines between decoding and prefill. An engine that decodes makes a
-// stride of token steps in each pass (about 45 ms), even for a single answer, and prefills
+// roles divides engines between decoding and prefill. An engine that decodes runs
+// StepsPerPass token steps in each pass (about 45 ms), even for a single answer, and prefills
 // all waiting prompts in between, while its answers pause. So as few engines as can hold
 // the answers decode, and the others prefill.
 //
--- a/decide/spread/slots.go
+++ b/decide/spread/slots.go
@@ -15,8 +15,8 @@
 // hold time is refused.
 //
 // Other instances see a slot as free until a report tells them that it was taken. Each
-// request therefore takes a slot only with a probability by which about one request takes
-// each.
+// request therefore takes a slot only with the probability at which about one request
+// takes each free slot.
 func (c *chooser) checkSlots(servers []backends.Server) Verdict {
 	if len(servers) == 0 || c.deep() || c.req.MaxHold <= 0 || c.engine.Slots <= 0 {
 		return Placed
--- a/decide/spread/spread_test.go
+++ b/decide/spread/spread_test.go
@@ -261,24 +261,24 @@
 		Expect(l.Total("a")).To(Equal(spread.Load{}))
 	})
 
-	part := func(server string, read, by time.Duration) spread.Part {
-		return spread.Part{Server: backends.Server{ID: server}, Load: spread.Load{Calls: 1, Prefill: read, UnconfirmedPrefill: read}, PrefillEnd: by}
+	part := func(server string, prefill, end time.Duration) spread.Part {
+		return spread.Part{Server: backends.Server{ID: server}, Load: spread.Load{Calls: 1, Prefill: prefill, UnconfirmedPrefill: prefill}, PrefillEnd: end}
 	}
 
 	// Each instance works out by itself when a prefill is due to end; reports of that were
 	// half of all messages between instances.
 	It("ends a prefill when it is due, locally and at peers, without a report", func() {
-		own, peer := spread.NewLedger(), spread.NewLedger()
-		own.Place(0, part("a", 100*time.Millisecond, 300*time.Millisecond))
-		peer.ApplyReport(5*time.Millisecond, "own", false, own.TakeChanged(2*time.Millisecond))
-		for _, l := range []*spread.Ledger{own, peer} {
+		local, peer := spread.NewLedger(), spread.NewLedger()
+		local.Place(0, part("a", 100*time.Millisecond, 300*time.Millisecond))
+		peer.ApplyReport(5*time.Millisecond, "own", false, local.TakeChanged(2*time.Millisecond))
+		for _, l := range []*spread.Ledger{local, peer} {
 			l.Advance(299 * time.Millisecond)
 			Expect(l.Total("a").Prefill).To(Equal(100 * time.Millisecond))
 			l.Advance(303 * time.Millisecond)
 			Expect(l.Total("a").Prefill).To(BeZero())
 			Expect(l.Total("a").UnconfirmedPrefill).To(Equal(100*time.Millisecond), "a prompt without a first event stays unconfirmed")
 		}
-		Expect(own.TakeChanged(time.Second)).To(BeEmpty())
+		Expect(local.TakeChanged(time.Second)).To(BeEmpty())
 	})
 
 	It("ends a prefill early when told to", func() {
@@ -295,11 +295,11 @@
 
 	It("drops a prefill that a later report replaced, or whose peer is gone", func() {
 		l := spread.NewLedger()
-		read := func(due time.Duration) map[spread.Key]spread.Work {
-			return map[spread.Key]spread.Work{spread.KeyOf("a"): {Prefills: []spread.Prefill{{Duration: time.Second, ExpectedEnd: due}}}}
+		prefillUntil := func(end time.Duration) map[spread.Key]spread.Work {
+			return map[spread.Key]spread.Work{spread.KeyOf("a"): {Prefills: []spread.Prefill{{Duration: time.Second, ExpectedEnd: end}}}}
 		}
-		l.ApplyReport(0, "peer", false, read(time.Second))
-		l.ApplyReport(0, "peer", false, read(3*time.Second))
+		l.ApplyReport(0, "peer", false, prefillUntil(time.Second))
+		l.ApplyReport(0, "peer", false, prefillUntil(3*time.Second))
 		l.Advance(2 * time.Second)
 		Expect(l.Total("a").Prefill).To(Equal(time.Second))
 		l.RetainPeers(map[string]bool{})
@@ -317,9 +317,9 @@
 })
 
 var _ = Describe("holding deep prompts back", func() {
-	const patience = 9 * time.Second
+	const maxHold = 9 * time.Second
 	deep := func(f *fleet, tokens int64, waited time.Duration) spread.Verdict {
-		_, v := f.place(spread.Request{Prompt: tokens, Answer: 800, Waited: waited, MaxHold: patience})
+		_, v := f.place(spread.Request{Prompt: tokens, Answer: 800, Waited: waited, MaxHold: maxHold})
 		return v
 	}
 	busy := func() *fleet {
@@ -335,7 +335,7 @@
 	It("lasts while much prefill is pending", func() {
 		f := busy()
 		Expect(deep(f, 154_000, 0)).To(Equal(spread.Hold))
-		Expect(deep(f, 154_000, patience)).To(Equal(spread.Placed))
+		Expect(deep(f, 154_000, maxHold)).To(Equal(spread.Placed))
 	})
 
 	It("lets smaller ones go first", func() {
@@ -346,7 +346,7 @@
 
 	It("does not apply to short prompts", func() {
 		f := busy()
-		p, v := f.place(spread.Request{Prompt: 5000, Answer: 1600, MaxHold: patience})
+		p, v := f.place(spread.Request{Prompt: 5000, Answer: 1600, MaxHold: maxHold})
 		Expect(v).To(Equal(spread.Placed))
 		Expect(p.Parts).NotTo(BeEmpty())
 	})
@@ -362,7 +362,7 @@
 	})
 
 	// Guards against sending more prompts once the predicted end of the prefill has
-	// passed, while the engines are seconds behind.
+	// passed, while the engines need seconds more.
 	It("lasts until first events confirm the prefill, whatever was predicted", func() {
 		f := newFleet(21)
 		for range 3 {
--- a/decide/spread/turn.go
+++ b/decide/spread/turn.go
@@ -61,7 +61,7 @@
 	return cmp.Or(cmp.Compare(t.rank(now), o.rank(now)), cmp.Compare(t.Request, o.Request)) < 0
 }
 
-// TurnTTL is how long a peer's report of its first prompt counts; a peer that
+// TurnTTL is how long a peer's report of what it holds back counts; a peer that
 // hung would otherwise block all others. Peers repeat the report every turnRefresh.
 const (
 	TurnTTL     = 600 * time.Millisecond
--- a/serve/relay/exchange.go
+++ b/serve/relay/exchange.go
@@ -85,20 +85,20 @@
 	// retryAfter is the longest Retry-After of servers that did not run the request.
 	retryAfter time.Duration
 	splitter   eventSplitter
-	// streamStarted tells that the head of a stream was sent to the client.
+	// streamStarted is set if the head of a stream was sent to the client.
 	streamStarted bool
 	// serverError is the last error answer of a server, which may be passed on.
 	serverError     backend.Head
 	serverErrorBody []byte
 	// key caches the result of identity.
 	key *poison.Key
-	// sentAt is when the current attempt was sent, crashed tells that its server
-	// crashed, and anyCrash that the server of any attempt did.
+	// sentAt is when the current attempt was sent, crashed is set if its server
+	// crashed, and anyCrash if the server of any attempt did.
 	sentAt            time.Duration
 	crashed, anyCrash bool
-	// suspect tells that the request may be the cause of crashes.
+	// suspect is set if the request may be the cause of crashes.
 	suspect bool
-	// answered tells that a server's complete answer was sent to the client.
+	// answered is set if a server's complete answer was sent to the client.
 	answered bool
 	// heldFor is how long the request was held before its first attempt.
 	heldFor time.Duration
--- a/serve/relay/health.go
+++ b/serve/relay/health.go
@@ -68,7 +68,7 @@
 }
 
 // observePace checks the newest pause between events and ejects the server if it is
-// slow. Pauses of engines that answer long prompts don't count, as these also prefill
+// slow. Pauses in answers to long prompts don't count, as their engines also prefill
 // for others, nor do any while the engines are overloaded.
 func (x *exchange) observePace(plan spread.Plan) {
 	if x.route.Kind != route.Stream || x.newestGap == 0 || !spread.Short(x.service.Engine, x.req.PromptTokens) {
--- a/serve/relay/hold.go
+++ b/serve/relay/hold.go
@@ -74,8 +74,8 @@
 	return spread.MaxHold(x.route.FirstEventTarget, x.timeLimit)
 }
 
-// joinQueue makes the held request visible to other instances until the returned
-// function is called.
+// joinQueue counts the held request among those that wait for a slot until the returned
+// function is called. A deep prompt is queued by placeOrHold and only removed by it.
 func (x *exchange) joinQueue() (leave func()) {
 	l := x.relay.loads
 	if x.isDeep() {
--- a/serve/relay/load.go
+++ b/serve/relay/load.go
@@ -10,7 +10,7 @@
 type placedLoad struct {
 	loads *loads.Loads
 	plan  spread.Plan
-	// prefillEnded tells that the first event arrived, or never will.
+	// prefillEnded is set once the first event arrived or the attempt ended.
 	prefillEnded bool
 }
 
--- a/serve/relay/quarantine.go
+++ b/serve/relay/quarantine.go
@@ -17,7 +17,7 @@
 	"github.com/auburnmoor/auburnmoor/result"
 )
 
-// crashDetector tells crashed servers from broken connections. Both break the
+// crashDetector distinguishes crashed servers from broken connections. Both break the
 // attempts in progress; only a server that ended refuses new connections.
 type crashDetector struct {
 	refusesConn func(ctx context.Context, addr string) bool
