--- a/cli/bench.go
+++ b/cli/bench.go
@@ -26,14 +26,14 @@
 	List     bool     `help:"List the scenarios and policies."`
 }
 
-// Run runs the experiments.
+// Run runs the benchmark scenarios, lists them or checks their bounds.
 func (c *benchCmd) Run(e *env) error {
 	if c.List {
 		return c.list(e)
 	}
 	scenarios, err := c.scenarios()
 	if err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	set := bench.Settings{Seed: c.Seed, Factor: c.Factor, Scale: c.Scale}
 	if c.Bounds != "" {
@@ -58,7 +58,7 @@
 func (c *benchCmd) measure(s bench.Scenario, set bench.Settings) ([]bench.Summary, error) {
 	policies, err := c.policies(s)
 	if err != nil {
-		return nil, usage(err)
+		return nil, usageError(err)
 	}
 	var out []bench.Summary
 	for _, p := range policies {
@@ -85,7 +85,7 @@
 	return w.Flush()
 }
 
-// check measures every bounded scenario and fails when one breaks its bounds.
+// check measures every scenario that has bounds and fails if any bound is violated.
 func (c *benchCmd) check(e *env, set bench.Settings) error {
 	raw, err := os.ReadFile(c.Bounds)
 	if err != nil {
@@ -93,13 +93,13 @@
 	}
 	bounds, err := bench.ParseBounds(raw)
 	if err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	var broken []string
 	for _, b := range bounds.Full {
 		s, ok := bench.Find(b.Scenario)
 		if !ok {
-			return usage(errors.Newf("no scenario %q", b.Scenario))
+			return usageError(errors.Newf("unknown scenario %q", b.Scenario))
 		}
 		p, _ := bench.LookupPolicy(bench.Product)
 		problems := b.Check(bench.Measure(s, p, set))
@@ -120,7 +120,7 @@
 	for _, name := range c.Scenario {
 		s, ok := bench.Find(name)
 		if !ok {
-			return nil, errors.Newf("no scenario %q; see bench --list", name)
+			return nil, errors.Newf("unknown scenario %q; see bench --list", name)
 		}
 		out = append(out, s)
 	}
@@ -142,7 +142,7 @@
 	for _, n := range names {
 		p, ok := bench.LookupPolicy(n)
 		if !ok {
-			return nil, errors.Newf("no policy %q; see bench --list", n)
+			return nil, errors.Newf("unknown policy %q; see bench --list", n)
 		}
 		out = append(out, p)
 	}
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line of auburnmoor.
+// Package cli implements the command line of auburnmoor.
 package cli
 
 import (
@@ -22,7 +22,7 @@
 	ExitUsage  = 2
 )
 
-// commands is the grammar of the command line.
+// commands defines the subcommands; kong derives their names from the field names.
 type commands struct {
 	Serve    serveCmd    `cmd:"" help:"Run one entry instance."`
 	Dev      devCmd      `cmd:"" help:"Run a whole small site in this process, with stand-ins."`
@@ -44,19 +44,19 @@
 	Version  versionCmd  `cmd:"" help:"Print the version."`
 }
 
-// env is what a command may use.
+// env carries the context and output streams that are passed to a command.
 type env struct {
 	ctx context.Context
 	out io.Writer
 	err io.Writer
 }
 
-// errUsage marks bad usage or bad input.
+// errUsage marks errors caused by invalid arguments or input files; they exit with ExitUsage.
 var errUsage = errors.New("bad input")
 
-func usage(err error) error { return errors.Mark(err, errUsage) }
+func usageError(err error) error { return errors.Mark(err, errUsage) }
 
-// exit unwinds kong's own exits, such as that of --help.
+// exit is the panic value that carries the exit code when kong exits by itself, as on --help.
 type exit struct{ code int }
 
 // Main parses args, runs the command and returns the exit code.
@@ -85,10 +85,11 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	return report(stderr, kctx.Run(&env{ctx: ctx, out: stdout, err: stderr}))
+	return reportError(stderr, kctx.Run(&env{ctx: ctx, out: stdout, err: stderr}))
 }
 
-func report(stderr io.Writer, err error) int {
+// reportError prints err, if any, and returns the exit code for it.
+func reportError(stderr io.Writer, err error) int {
 	if err == nil {
 		return ExitDone
 	}
--- a/cli/dev.go
+++ b/cli/dev.go
@@ -23,11 +23,11 @@
 	Log        bool    `help:"Print the instances' logs."`
 }
 
-// readyTimeout bounds the start of a site.
+// readyTimeout bounds the time until a started site is ready.
 const readyTimeout = 30 * time.Second
 
-// manifest reads the file named, or takes the one built in, so that the command
-// works from any folder.
+// manifest reads the given file or returns the embedded example, so that the command
+// works from any directory.
 func (c *devCmd) manifest() ([]byte, error) {
 	if c.Manifest == "" {
 		return examples.TePuna, nil
@@ -35,12 +35,12 @@
 	return os.ReadFile(c.Manifest)
 }
 
-// Run runs a site until a signal.
+// Run runs a site until SIGINT or SIGTERM.
 func (c *devCmd) Run(e *env) error {
 	o := dev.DefaultOptions()
 	raw, err := c.manifest()
 	if err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	o.Manifest, o.StepFactor, o.BasePort, o.Entries = raw, c.StepFactor, c.BasePort, c.Entries
 	o.Engines = c.Engines
@@ -60,19 +60,20 @@
 	defer cancel()
 	err = site.Ready(ctx)
 	if e.ctx.Err() != nil {
-		fmt.Fprintln(e.out, "told to stop before the site was ready")
+		fmt.Fprintln(e.out, "stopped before the site was ready")
 		return site.Stop(context.Background())
 	}
 	if err != nil {
 		site.Close()
 		return errors.Wrap(err, "starting the site")
 	}
-	c.welcome(e, site)
+	c.printAddresses(e, site)
 	<-e.ctx.Done()
 	return site.Stop(context.Background())
 }
 
-func (c *devCmd) welcome(e *env, s *dev.Site) {
+// printAddresses prints the address of each component and example calls.
+func (c *devCmd) printAddresses(e *env, s *dev.Site) {
 	w := tabwriter.NewWriter(e.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "ROLE\tADDRESS\tFOR")
 	for i := range s.Entries {
--- a/cli/dev_test.go
+++ b/cli/dev_test.go
@@ -8,8 +8,8 @@
 	_ "github.com/auburnmoor/auburnmoor/modules"
 )
 
-// Guards against a site that is told to stop while it starts and calls that a failure.
-func TestDevToldToStopWhileItStarts(t *testing.T) {
+// A site that is stopped while it starts must not report a failure.
+func TestDevStoppedDuringStart(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	var out bytes.Buffer
@@ -17,7 +17,7 @@
 	if err := c.Run(&env{ctx: ctx, out: &out, err: &out}); err != nil {
 		t.Errorf("%v", err)
 	}
-	if got := out.String(); got != "told to stop before the site was ready\n" {
+	if got := out.String(); got != "stopped before the site was ready\n" {
 		t.Errorf("printed %q", got)
 	}
 }
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -13,18 +13,18 @@
 	Files []string `arg:"" type:"existingfile" help:"Log files of all instances."`
 }
 
-// Run prints the story of a request.
+// Run prints the timeline of a request.
 func (c *explainCmd) Run(e *env) error {
 	all, err := readLogs(c.Files)
 	if err != nil {
 		return err
 	}
-	s := explain.Of(c.ID, all)
-	if err := s.Write(e.out); err != nil {
+	t := explain.Collect(c.ID, all)
+	if err := t.Write(e.out); err != nil {
 		return err
 	}
-	if len(s.Request) == 0 {
-		return errors.Newf("request %s is in none of %d files", c.ID, len(c.Files))
+	if len(t.Request) == 0 {
+		return errors.Newf("request %s is not in any of the %d log files", c.ID, len(c.Files))
 	}
 	return nil
 }
--- a/cli/faults.go
+++ b/cli/faults.go
@@ -17,7 +17,8 @@
 	Mutant     string        `help:"Guard to take out, to see the trial fail." enum:",no-fence,no-pause-check,adopt-any,blind-retry,no-reclaim" default:""`
 }
 
-// Run injects faults into the state machines and counts violations.
+// Run runs trials with injected faults for each number of instances and fails on any
+// violated invariant.
 func (c *faultsCmd) Run(e *env) error {
 	var all *trial.Report
 	for _, n := range c.Instances {
--- a/cli/input_test.go
+++ b/cli/input_test.go
@@ -15,15 +15,16 @@
 
 func TestCLI(t *testing.T) { testkit.Suite(t, "cli") }
 
-// A wrong flag or file ended the program with a stack trace instead of a message.
-var _ = Describe("bad input", func() {
+// Guards against invalid flags or files that end the program with a stack trace instead
+// of a message.
+var _ = Describe("invalid input", func() {
 	run := func(args ...string) (code int, stdout, stderr string) {
 		var out, err strings.Builder
 		code = cli.Main(args, &out, &err)
 		return code, out.String(), err.String()
 	}
 
-	DescribeTable("gets a message that names it, exit code 2 and nothing else", func(want string, args ...string) {
+	DescribeTable("prints only an error that names it and exits with code 2", func(want string, args ...string) {
 		code, stdout, stderr := run(args...)
 		Expect(code).To(Equal(cli.ExitUsage))
 		Expect(stderr).To(ContainSubstring(want))
@@ -37,7 +38,7 @@
 		Entry(nil, "no-such-log", "losses", "no-such-log"),
 	)
 
-	It("such as a log without a request is named", func() {
+	It("names a log file without request lines", func() {
 		name := filepath.Join(GinkgoT().TempDir(), "foreign.log")
 		Expect(os.WriteFile(name, []byte("not a line {\"of\": \"ours\"\n"), 0o600)).To(Succeed())
 		code, stdout, stderr := run("losses", name)
--- a/cli/load.go
+++ b/cli/load.go
@@ -36,7 +36,7 @@
 	Plot        string        `help:"Write a PNG plot to this file."`
 }
 
-// Run sends the load; a wrong, doubled or missing answer is a failure.
+// Run sends the load; it fails if any answer is wrong or duplicated.
 func (c *loadCmd) Run(e *env) error {
 	o := load.Options{
 		Direct: c.Direct, DirectModel: c.DirectModel, Key: c.Key, Model: c.Model, Kind: c.Kind,
@@ -45,7 +45,7 @@
 		Repeat: c.Repeat, InFlight: c.InFlight, Seed: c.Seed,
 	}
 	if c.Rate <= 0 || c.Count <= 0 || c.InFlight <= 0 || c.Output <= 0 || c.MinTokens <= 0 {
-		return usage(errors.New("rate, count, in-flight, output and min-tokens must be positive"))
+		return usageError(errors.New("rate, count, in-flight, output and min-tokens must be positive"))
 	}
 	entries, err := c.entries(e.ctx)
 	if err != nil {
@@ -60,7 +60,7 @@
 		return err
 	}
 	if report.Failed() {
-		return errors.New("answers were wrong or doubled")
+		return errors.New("some answers were wrong or duplicated")
 	}
 	return nil
 }
@@ -77,14 +77,14 @@
 	return r.WriteTable(e.out)
 }
 
-// entries asks the system for the addresses to use, as every caller does.
+// entries fetches the addresses of the entry instances, as every client does.
 func (c *loadCmd) entries(ctx context.Context) ([]string, error) {
 	if c.One {
 		return []string{c.Entry}, nil
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.Entry+"/v1/entries", nil)
 	if err != nil {
-		return nil, usage(err)
+		return nil, usageError(err)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -97,7 +97,7 @@
 		} `json:"entries"`
 	}
 	if err := json.NewDecoder(resp.Body).Decode(&ans); err != nil {
-		return nil, errors.Wrap(err, "entries")
+		return nil, errors.Wrap(err, "decoding the list of entry instances")
 	}
 	var out []string
 	for _, en := range ans.Entries {
--- a/cli/losses.go
+++ b/cli/losses.go
@@ -14,7 +14,7 @@
 	JSON  bool     `help:"Print the report as JSON."`
 }
 
-// Run prints which requests were lost and why.
+// Run prints the lost requests by cause.
 func (c *lossesCmd) Run(e *env) error {
 	all, err := readLogs(c.Files)
 	if err != nil {
@@ -22,7 +22,7 @@
 	}
 	rep := losses.Find(all)
 	if rep.Requests == 0 {
-		return usage(errors.Newf("no line of a request in %s", strings.Join(c.Files, ", ")))
+		return usageError(errors.Newf("no request lines in %s", strings.Join(c.Files, ", ")))
 	}
 	if c.JSON {
 		return rep.JSON(e.out)
@@ -30,7 +30,7 @@
 	return rep.Write(e.out)
 }
 
-// readLogs reads the lines of several logs.
+// readLogs reads the lines of several log files.
 func readLogs(names []string) (all []explain.Line, err error) {
 	for _, name := range names {
 		lines, err := readLog(name)
--- a/cli/operate.go
+++ b/cli/operate.go
@@ -29,14 +29,14 @@
 	Timeout   time.Duration `default:"30s" help:"How long to try."`
 }
 
-// Run has a manifest accepted.
+// Run checks a manifest and stores it as the next configuration version.
 func (c *applyCmd) Run(e *env) error {
 	raw, err := os.ReadFile(c.File)
 	if err != nil {
 		return err
 	}
 	if _, err := manifest.Parse(raw); err != nil {
-		return usage(errors.Wrap(err, c.File))
+		return usageError(errors.Wrap(err, c.File))
 	}
 	ctx, cancel := context.WithTimeout(e.ctx, c.Timeout)
 	defer cancel()
@@ -56,6 +56,7 @@
 	return nil
 }
 
+// base returns the version that the change replaces.
 func (c *applyCmd) base(ctx context.Context, store objectapi.Store) (uint64, error) {
 	if c.Base != nil {
 		return *c.Base, nil
@@ -72,7 +73,7 @@
 	Request string `help:"Print only the decisions on this request."`
 }
 
-// Run prints a state dump.
+// Run prints a state dump or the record of one request from it.
 func (c *dumpCmd) Run(e *env) error {
 	raw, err := fetchDump(e.ctx, c.Addr)
 	if err != nil {
@@ -96,15 +97,15 @@
 	return errors.Newf("instance %s has no record of request %s", c.Addr, c.Request)
 }
 
-// maxDump bounds a state dump in bytes.
-const maxDump = 64 << 20
+// maxResponseBytes bounds the response to an operator call, such as a state dump.
+const maxResponseBytes = 64 << 20
 
 func fetchDump(ctx context.Context, addr string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/admin/dump", nil)
 	if err != nil {
-		return nil, usage(err)
+		return nil, usageError(err)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -114,7 +115,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, errors.Newf("%s answered %d", addr, resp.StatusCode)
 	}
-	return io.ReadAll(io.LimitReader(resp.Body, maxDump))
+	return io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 }
 
 type clearCmd struct {
@@ -122,17 +123,17 @@
 	Identity string `arg:"" help:"Identity of the request, from its log line or the state dump."`
 }
 
-// operateTimeout bounds what an operator asks of an instance.
+// operateTimeout bounds an operator action on an instance.
 const operateTimeout = 10 * time.Second
 
-// Run clears a request at all instances.
+// Run lifts the quarantine of a request at all instances.
 func (c *clearCmd) Run(e *env) error {
 	ctx, cancel := context.WithTimeout(e.ctx, operateTimeout)
 	defer cancel()
 	target := "http://" + c.Addr + "/admin/operate/control.quarantine/clear?subject=" + url.QueryEscape(c.Identity)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, target, nil)
 	if err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -140,15 +141,15 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusNoContent {
-		why, _ := io.ReadAll(io.LimitReader(resp.Body, maxDump))
-		return errors.Newf("%s answered %d: %s", c.Addr, resp.StatusCode, strings.TrimSpace(string(why)))
+		message, _ := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
+		return errors.Newf("%s answered %d: %s", c.Addr, resp.StatusCode, strings.TrimSpace(string(message)))
 	}
 	return nil
 }
 
 type versionCmd struct{}
 
-// Run prints the version that the build recorded.
+// Run prints the version recorded in the build information.
 func (*versionCmd) Run(e *env) error {
 	version := "unknown"
 	if info, ok := debug.ReadBuildInfo(); ok {
--- a/cli/passes.go
+++ b/cli/passes.go
@@ -34,11 +34,11 @@
 	}
 }
 
-// Run plays loads against the placing.
+// Run simulates the loads against request placement and prints the results.
 func (c *passesCmd) Run(e *env) error {
 	loads, err := c.loads()
 	if err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	all := passes.Play(passes.Series{Loads: loads, Seed: c.Seed, Seeds: c.Seeds, Length: c.Duration, Rate: c.Rate})
 	for _, s := range all {
@@ -52,6 +52,7 @@
 	return passes.WriteLines(e.out, all)
 }
 
+// loads returns the named loads, or all built-in ones, and the randomly drawn ones.
 func (c *passesCmd) loads() ([]passes.Load, error) {
 	names := c.Load
 	if len(names) == 0 && c.Draw == 0 {
--- a/cli/serve.go
+++ b/cli/serve.go
@@ -22,48 +22,48 @@
 	Config string `required:"" env:"AUBURNMOOR_SETTINGS" type:"existingfile" help:"Settings file of the instance."`
 }
 
-// Run serves until a signal, then drains.
+// Run serves until SIGINT or SIGTERM, then drains.
 func (c *serveCmd) Run(e *env) error {
 	f, err := settings.Load(c.Config)
 	if err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	if err := f.CheckAll(); err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	log, err := process.NewLog(f.Instance.LogFormat)
 	if err != nil {
 		return err
 	}
 	if limit := f.Instance.HeapLimit(); limit > 0 {
-		// A heap that doubles between two collections has a small machine end the process,
-		// with all that it answers, though half of it is garbage.
+		// Without a limit, the heap may double between two collections, and the kernel
+		// kills the process on a small machine although half of the heap is garbage.
 		debug.SetMemoryLimit(limit)
 	}
 	p, err := process.New(f, log)
 	if err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	if err := p.Start(context.Background()); err != nil {
 		return err
 	}
 	log.Info("started", zap.String("settings", f.Path))
-	reload(e.ctx, p, f, log)
+	watchSettings(e.ctx, p, f, log)
 	log.Info("draining")
 	return drain(p, f, log)
 }
 
-// reloadEvery is how often the settings file is read again, because it may
-// change without a signal.
-const reloadEvery = 5 * time.Second
+// settingsPollInterval is the interval of rereading the settings file, which may change
+// without a signal.
+const settingsPollInterval = 5 * time.Second
 
-// reload takes new settings over until ctx ends. A signal alone changes nothing:
-// without a handler it would end the process and everything it is answering.
-func reload(ctx context.Context, p *process.Process, f *settings.File, log *zap.Logger) {
+// watchSettings applies changes of the settings file until ctx ends. SIGHUP makes it
+// reread the file at once; without a handler it would kill the process with its open requests.
+func watchSettings(ctx context.Context, p *process.Process, f *settings.File, log *zap.Logger) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	t := time.NewTicker(reloadEvery)
+	t := time.NewTicker(settingsPollInterval)
 	defer t.Stop()
 	last := f
 	for {
@@ -83,16 +83,16 @@
 			err = p.Reload(next.Configure)
 		}
 		if err != nil {
-			log.Error("new settings are not taken over", zap.Bool("signalled", signalled), eventlog.Error(err))
+			log.Error("settings reload failed", zap.Bool("signalled", signalled), eventlog.Error(err))
 			continue
 		}
-		log.Info("settings read again", zap.Bool("signalled", signalled), zap.Bool("changed", !next.Same(last)))
+		log.Info("settings reloaded", zap.Bool("signalled", signalled), zap.Bool("changed", !next.Same(last)))
 		last = next
 	}
 }
 
-// exitMargin of the time to drain is left for closing down, so that the process
-// is gone before it would be killed.
+// exitMargin is the part of the drain timeout reserved for closing the modules, so that
+// the process exits before it is killed.
 const exitMargin = 500 * time.Millisecond
 
 func drain(p *process.Process, f *settings.File, log *zap.Logger) error {
@@ -115,14 +115,14 @@
 	File string `arg:"" type:"existingfile" help:"Settings file."`
 }
 
-// Run prints every problem of a settings file.
+// Run reports every problem of a settings file.
 func (c *configCheckCmd) Run(e *env) error {
 	f, err := settings.Load(c.File)
 	if f != nil && f.Path != "" {
 		err = errors.Join(err, f.CheckAll())
 	}
 	if err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	fmt.Fprintf(e.out, "%s: ok\n", c.File)
 	return nil
@@ -136,7 +136,7 @@
 	File string `arg:"" type:"existingfile" help:"Manifest file."`
 }
 
-// Run prints every problem of a manifest.
+// Run reports every problem of a manifest.
 func (c *manifestCheckCmd) Run(e *env) error {
 	raw, err := os.ReadFile(c.File)
 	if err != nil {
@@ -144,7 +144,7 @@
 	}
 	m, err := manifest.Parse(raw)
 	if err != nil {
-		return usage(errors.Wrap(err, c.File))
+		return usageError(errors.Wrap(err, c.File))
 	}
 	fmt.Fprintf(e.out, "%s: ok: site %s, %d services, %d kinds, %d customers\n", c.File, m.Site, len(m.Services), len(m.Kinds), len(m.Customer))
 	return nil
--- a/cli/soak.go
+++ b/cli/soak.go
@@ -23,15 +23,15 @@
 	Dir       string        `help:"Folder for settings, logs and plans; a temporary one by default."`
 }
 
-// Run plays the runs one after the other and prints the broken promises.
+// Run executes the plans in sequence and prints the violated promises.
 func (c *soakCmd) Run(e *env) error {
 	plans, err := c.plans()
 	if err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	if c.Dir == "" {
 		if c.Dir, err = os.MkdirTemp("", "soak-"); err != nil {
-			return errors.Wrap(err, "soak")
+			return errors.Wrap(err, "creating the folder of the runs")
 		}
 	}
 	broken := 0
@@ -52,7 +52,7 @@
 
 func (c *soakCmd) plans() ([]soak.Plan, error) {
 	if c.Mutant != "" && !soak.Mutant(c.Mutant).Known() {
-		return nil, errors.Newf("unknown mutant %q, there are %v", c.Mutant, soak.Mutants)
+		return nil, errors.Newf("unknown mutant %q; known mutants: %v", c.Mutant, soak.Mutants)
 	}
 	if c.Replay != "" {
 		raw, err := os.ReadFile(c.Replay)
@@ -73,10 +73,11 @@
 	return out, nil
 }
 
-// play plays one plan, shrinks it if that is asked for, and returns how many promises broke.
+// play executes one plan, shrinks a failing one if requested, saves it and returns the
+// number of violations.
 func (c *soakCmd) play(e *env, p soak.Plan) (int, error) {
 	dir := filepath.Join(c.Dir, fmt.Sprint("seed-", p.Seed))
-	r, err := c.once(e, p, dir)
+	r, err := c.runOnce(e, p, dir)
 	if err != nil {
 		return 0, err
 	}
@@ -92,35 +93,36 @@
 	}
 	raw, err := p.Format()
 	if err != nil {
-		return 0, errors.Wrap(err, "plan")
+		return 0, errors.Wrap(err, "formatting the plan")
 	}
 	path := filepath.Join(dir, "plan.toml")
 	fmt.Fprintf(e.out, "plan and logs: %s\n", dir)
-	return len(r.Violations), errors.Wrap(os.WriteFile(path, raw, 0o600), "plan")
+	return len(r.Violations), errors.Wrap(os.WriteFile(path, raw, 0o600), "writing the plan")
 }
 
-func (c *soakCmd) once(e *env, p soak.Plan, dir string) (soak.Result, error) {
+// runOnce executes a plan with its logs in dir.
+func (c *soakCmd) runOnce(e *env, p soak.Plan, dir string) (soak.Result, error) {
 	bin := c.Binary
 	if bin == "" {
 		self, err := os.Executable()
 		if err != nil {
-			return soak.Result{}, errors.Wrap(err, "soak")
+			return soak.Result{}, errors.Wrap(err, "finding the program to run")
 		}
 		bin = self
 	}
 	return soak.Play(e.ctx, p, soak.Options{Binary: bin, Dir: dir, Mutant: soak.Mutant(c.Mutant)})
 }
 
-// shrink drops one fault after the other while the same promise breaks.
+// shrink removes each fault without which the same promise is still violated.
 func (c *soakCmd) shrink(e *env, p soak.Plan, promise soak.Promise) soak.Plan {
 	for i := 0; i < len(p.Faults) && e.ctx.Err() == nil; {
-		less := p.Without(i)
-		r, err := c.once(e, less, filepath.Join(c.Dir, fmt.Sprintf("seed-%d-without-%d-of-%d", p.Seed, i, len(p.Faults))))
+		reduced := p.Without(i)
+		r, err := c.runOnce(e, reduced, filepath.Join(c.Dir, fmt.Sprintf("seed-%d-without-%d-of-%d", p.Seed, i, len(p.Faults))))
 		if err != nil || !r.Broke(promise) {
 			i++
 			continue
 		}
-		p = less
+		p = reduced
 	}
 	fmt.Fprintf(e.out, "%d faults are left\n", len(p.Faults))
 	return p
--- a/cli/standin.go
+++ b/cli/standin.go
@@ -28,7 +28,7 @@
 	ListLag time.Duration `default:"500ms" help:"How late the instance list shows a change."`
 }
 
-// Run serves until a signal.
+// Run serves until SIGINT or SIGTERM.
 func (c *standinPlatformCmd) Run(e *env) error {
 	s := platformserver.New(c.Addr, c.ListLag)
 	if err := s.Start(); err != nil {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// listing is where a stand-in enters itself into the instance list.
+// listing describes how a stand-in registers itself in the instance list.
 type listing struct {
 	Name       string `required:"" help:"Name in the instance list."`
 	Platform   string `default:"127.0.0.1:7001" help:"Address of the platform."`
@@ -48,7 +48,7 @@
 	Region     string `default:"dev" help:"Region."`
 }
 
-func (l listing) enter(ctx context.Context, in instances.Instance) error {
+func (l listing) register(ctx context.Context, in instances.Instance) error {
 	in.Name, in.DataCentre, in.Region = l.Name, l.DataCentre, l.Region
 	raw, err := json.Marshal(in)
 	if err != nil {
@@ -56,11 +56,11 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+l.Platform+"/instances/"+l.Name, bytes.NewReader(raw))
 	if err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return errors.Wrap(err, "instance list")
+		return errors.Wrap(err, "registering in the instance list")
 	}
 	return resp.Body.Close()
 }
@@ -74,7 +74,7 @@
 	ReportLag  time.Duration `default:"500ms" help:"How late load reports are."`
 }
 
-// Run serves until a signal.
+// Run serves until SIGINT or SIGTERM.
 func (c *standinEngineCmd) Run(e *env) error {
 	s := engineserver.New(c.Addr, enginecore.Config{
 		Name: c.Name, KVTokens: c.KVTokens, Assume: enginecore.Assumed(c.StepFactor), Fencing: c.Fencing,
@@ -84,7 +84,7 @@
 		return err
 	}
 	defer s.Close()
-	if err := c.enter(e.ctx, instances.Instance{Role: instances.RoleEngine, Addr: s.Addr(), Fencing: c.Fencing}); err != nil {
+	if err := c.register(e.ctx, instances.Instance{Role: instances.RoleEngine, Addr: s.Addr(), Fencing: c.Fencing}); err != nil {
 		return err
 	}
 	fmt.Fprintln(e.out, "ready", s.Addr())
@@ -99,7 +99,7 @@
 	Delay   time.Duration `help:"Least time that a call takes."`
 }
 
-// Run serves until a signal.
+// Run serves until SIGINT or SIGTERM.
 func (c *standinServiceCmd) Run(e *env) error {
 	s := serviceserver.New(c.Addr, c.Service, &serviceserver.Counter{})
 	s.SetDelay(c.Delay)
@@ -107,7 +107,7 @@
 		return err
 	}
 	defer s.Close()
-	if err := c.enter(e.ctx, instances.Instance{Role: instances.RoleService, Addr: s.Addr(), Service: c.Service}); err != nil {
+	if err := c.register(e.ctx, instances.Instance{Role: instances.RoleService, Addr: s.Addr(), Service: c.Service}); err != nil {
 		return err
 	}
 	fmt.Fprintln(e.out, "ready", s.Addr())
--- a/cli/status.go
+++ b/cli/status.go
@@ -19,7 +19,8 @@
 	Addrs []string `arg:"" optional:"" help:"Operators' addresses of instances; those of \"dev\" by default."`
 }
 
-// Run prints a line per instance and, of instances that follow a store, one of the fleet.
+// Run prints a row per instance and, if any instance follows a store, a summary of those
+// that do.
 func (c *statusCmd) Run(e *env) error {
 	if len(c.Addrs) == 0 {
 		c.Addrs = []string{"127.0.0.1:7301", "127.0.0.1:7302", "127.0.0.1:7303"}
@@ -27,14 +28,14 @@
 	w := tabwriter.NewWriter(e.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "INSTANCE\tCONFIG\tMEMBERS\tENGINES\tOWNED\tREQUESTS\tANSWERED\tREFUSED\tFAILED")
 	var failed []string
-	var fleet spread
+	var fleet catalogSpread
 	for _, addr := range c.Addrs {
-		d, err := statusOf(e.ctx, addr)
+		d, err := fetchStatus(e.ctx, addr)
 		if err != nil {
 			failed = append(failed, fmt.Sprintf("%s: %v", addr, err))
 			continue
 		}
-		d.line(w, addr)
+		d.writeRow(w, addr)
 		if d.Catalog != nil {
 			fleet.add(*d.Catalog)
 		}
@@ -51,7 +52,7 @@
 	return nil
 }
 
-func statusOf(ctx context.Context, addr string) (d dumpSummary, err error) {
+func fetchStatus(ctx context.Context, addr string) (d dumpSummary, err error) {
 	raw, err := fetchDump(ctx, addr)
 	if err != nil {
 		return d, err
@@ -59,8 +60,8 @@
 	return d, json.Unmarshal(raw, &d)
 }
 
-// line writes the line of one instance.
-func (d dumpSummary) line(w io.Writer, addr string) {
+// writeRow writes the table row of one instance.
+func (d dumpSummary) writeRow(w io.Writer, addr string) {
 	n := d.Dispatch.Node
 	name, version := n.Self, d.Config.Version
 	if d.Catalog != nil {
@@ -70,14 +71,14 @@
 		n.Engines, len(n.Owned), n.Requests, n.Counts.Answered, n.Counts.Refused, n.Counts.Failed)
 }
 
-// spread is how far the instances of a fleet are apart in what they know of the store.
-type spread struct {
+// catalogSpread summarizes how the instances of a fleet differ in their view of the store.
+type catalogSpread struct {
 	instances, unconfirmed int
 	oldest, newest         uint64
 	age                    time.Duration
 }
 
-func (s *spread) add(d follow.Dump) {
+func (s *catalogSpread) add(d follow.Dump) {
 	if s.instances == 0 || d.ConfigVersion < s.oldest {
 		s.oldest = d.ConfigVersion
 	}
@@ -89,8 +90,8 @@
 	s.instances++
 }
 
-// String is the line of the fleet.
-func (s spread) String() string {
+// String formats the summary line of the fleet.
+func (s catalogSpread) String() string {
 	return fmt.Sprintf("%d instances: versions %d to %d, %d not confirmed, the oldest word of the store %s old",
 		s.instances, s.oldest, s.newest, s.unconfirmed, s.age)
 }
--- a/cli/status_test.go
+++ b/cli/status_test.go
@@ -7,8 +7,8 @@
 	"github.com/auburnmoor/auburnmoor/decide/knowledge"
 )
 
-func TestSpreadOfAFleet(t *testing.T) {
-	var s spread
+func TestCatalogSpread(t *testing.T) {
+	var s catalogSpread
 	s.add(follow.Dump{ConfigVersion: 9, ConfigState: knowledge.Confirmed, AgeMS: 400})
 	s.add(follow.Dump{ConfigVersion: 7, ConfigState: knowledge.Old, AgeMS: 5200})
 	s.add(follow.Dump{ConfigVersion: 9, ConfigState: knowledge.Confirmed, AgeMS: 100})
--- a/cli/summary.go
+++ b/cli/summary.go
@@ -12,6 +12,6 @@
 	Config   config.Dump     `json:"control.config"`
 	Members  members.Dump    `json:"control.members"`
 	Dispatch dispatcher.Dump `json:"serve.dispatch"`
-	// Catalog is nil at instances that do not follow a store.
+	// Catalog is nil for instances that do not follow a store.
 	Catalog *follow.Dump `json:"control.catalog"`
 }
--- a/cli/suspects.go
+++ b/cli/suspects.go
@@ -41,13 +41,14 @@
 	}
 }
 
-// shareOfServers and leastServers size the servers of a fleet.
+// A fleet has serversPerInstance servers for each instance, and at least minServers.
 const (
-	shareOfServers = 0.7
-	leastServers   = 20
+	serversPerInstance = 0.7
+	minServers         = 20
 )
 
-// Run plays requests that crash servers among others and prints a line for each fleet.
+// Run simulates fleets in which some requests crash servers, and prints a row for each fleet
+// size.
 func (c *suspectsCmd) Run(e *env) error {
 	t := tabwriter.NewWriter(e.out, 0, 0, 2, ' ', 0)
 	if _, err := fmt.Fprintln(t, "instances\tservers ended each\tof these late\tknown to all after at most\tordinary requests\trefused\tsuspects\tbroken with them\tmessages an instance and second\tbytes"); err != nil {
@@ -57,19 +58,19 @@
 		var sum suspects.Result
 		for seed := range c.Seeds {
 			sum.Add(suspects.Play(suspects.Options{
-				Instances: n, Servers: max(leastServers, int(shareOfServers*float64(n))), Seed: uint64(seed + 1), Duration: c.Duration, Rate: c.Rate,
+				Instances: n, Servers: max(minServers, int(serversPerInstance*float64(n))), Seed: uint64(seed + 1), Duration: c.Duration, Rate: c.Rate,
 				Poisons: c.Poisons, PoisonEvery: c.PoisonEvery, CrashEvery: c.CrashEvery, CrashShare: c.CrashShare,
 				Loss: c.Loss, RestartEvery: c.Restarts, Together: c.Together,
 			}))
 		}
-		each := float64(sum.Crashes) / float64(max(1, c.Seeds*c.Poisons))
-		perSecond := float64(c.Seeds*n) * c.Duration.Seconds()
-		most := time.Duration(0)
+		crashesPerPoison := float64(sum.Crashes) / float64(max(1, c.Seeds*c.Poisons))
+		instanceSeconds := float64(c.Seeds*n) * c.Duration.Seconds()
+		maxDelay := time.Duration(0)
 		if len(sum.Known) > 0 {
-			most = slices.Max(sum.Known)
+			maxDelay = slices.Max(sum.Known)
 		}
-		if _, err := fmt.Fprintf(t, "%d\t%.2f\t%d\t%v\t%d\t%d\t%d\t%d\t%.2f\t%.0f\n", n, each, sum.Late, most, sum.Ordinary, sum.Refused, sum.Suspects, sum.Broken,
-			float64(sum.Messages)/perSecond, float64(sum.Bytes)/perSecond); err != nil {
+		if _, err := fmt.Fprintf(t, "%d\t%.2f\t%d\t%v\t%d\t%d\t%d\t%d\t%.2f\t%.0f\n", n, crashesPerPoison, sum.Late, maxDelay, sum.Ordinary, sum.Refused, sum.Suspects, sum.Broken,
+			float64(sum.Messages)/instanceSeconds, float64(sum.Bytes)/instanceSeconds); err != nil {
 			return err
 		}
 	}
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -24,12 +24,12 @@
 {"level":"warn","time":"2026-01-01T00:00:09.150Z","msg":"store lost","instance":"entry-1","what":"servers"}
 `
 
-var _ = Describe("the story of a request", func() {
-	It("has its lines in order, and what happened at its instance", func() {
+var _ = Describe("the timeline of a request", func() {
+	It("contains its lines in order and other lines of its instances", func() {
 		lines, err := explain.Read(strings.NewReader(log))
 		Expect(err).NotTo(HaveOccurred())
 		var out bytes.Buffer
-		Expect(explain.Of("r1", lines).Write(&out)).To(Succeed())
+		Expect(explain.Collect("r1", lines).Write(&out)).To(Succeed())
 		Expect(out.String()).To(Equal(`request, from 2026-01-01T00:00:01Z
       0.0  entry-1  placed  server=s1
     100.0  entry-1  reservation not granted  ticket=r1-0-2
@@ -39,9 +39,9 @@
 `))
 	})
 
-	It("says when nothing names the request", func() {
+	It("reports that no line names the request", func() {
 		var out bytes.Buffer
-		Expect(explain.Of("r9", nil).Write(&out)).To(Succeed())
+		Expect(explain.Collect("r9", nil).Write(&out)).To(Succeed())
 		Expect(out.String()).To(ContainSubstring("no line"))
 	})
 })
