--- a/losses/losses.go
+++ b/losses/losses.go
@@ -1,5 +1,5 @@
-// Package losses tells from the log lines of all instances which requests were
-// late, refused, failed or given up, and gives each of them one cause.
+// Package losses finds, in the log lines of all instances, the requests that were late,
+// refused, failed or abandoned by the client, and assigns one cause to each.
 package losses
 
 import (
@@ -11,42 +11,42 @@
 	"github.com/auburnmoor/auburnmoor/result"
 )
 
-// Cause is why a request was lost.
+// Cause is the reason for which a request was lost.
 type Cause string
 
-// The causes.
+// Causes, in the words of the printed report.
 const (
-	Moved        Cause = "sent again after a failed attempt"
-	PauseReading Cause = "pause beside reading"
-	PauseWriting Cause = "pause beside many answers"
-	PauseOther   Cause = "pause of the engine, cause not seen"
-	HeldForTurn  Cause = "waited at the instance for its turn"
-	HeldForSlot  Cause = "waited at the instance for a slot"
-	EngineFull   Cause = "waited at an engine without a free slot"
-	LaterThan    Cause = "first event later than predicted"
-	BusyEngines  Cause = "engines busy, late as predicted"
-	ServiceSlow  Cause = "whole answer late"
-	NoRoom       Cause = "refused: no room"
-	NoServer     Cause = "refused: no server ran it"
-	NoConfig     Cause = "refused: no configuration yet"
-	ShuttingDown Cause = "refused: shutting down"
-	Deadline     Cause = "its time passed"
-	ServerError  Cause = "the server's own failure"
-	BrokenOff    Cause = "stream broken off"
-	LeftHeld     Cause = "client left while it waited at the instance"
-	LeftWaiting  Cause = "client left before or in the answer"
-	InstanceLost Cause = "instance ended under it"
-	Unexplained  Cause = "unexplained"
+	Retried            Cause = "sent again after a failed attempt"
+	PausePrefill       Cause = "pause beside reading"
+	PauseBatch         Cause = "pause beside many answers"
+	PauseOther         Cause = "pause of the engine, cause not seen"
+	HeldForTurn        Cause = "waited at the instance for its turn"
+	HeldForSlot        Cause = "waited at the instance for a slot"
+	EngineFull         Cause = "waited at an engine without a free slot"
+	LaterThanPredicted Cause = "first event later than predicted"
+	EnginesBusy        Cause = "engines busy, late as predicted"
+	SlowAnswer         Cause = "whole answer late"
+	NoCapacity         Cause = "refused: no room"
+	NoServer           Cause = "refused: no server ran it"
+	NoConfig           Cause = "refused: no configuration yet"
+	ShuttingDown       Cause = "refused: shutting down"
+	DeadlinePassed     Cause = "its time passed"
+	ServerError        Cause = "the server's own failure"
+	StreamBroken       Cause = "stream broken off"
+	ClientLeftHeld     Cause = "client left while it waited at the instance"
+	ClientLeftPlaced   Cause = "client left before or in the answer"
+	InstanceLost       Cause = "instance ended under it"
+	Unexplained        Cause = "unexplained"
 )
 
-// Kinds of request, by the length of the prompt; the lengths only sort the tables.
+// Kinds of request by prompt length in tokens; they only group the rows of the report.
 const (
-	plainKind = "plain"
-	shortKind = "below 20k"
-	longKind  = "below 80k"
-	deepKind  = "80k and more"
+	plainKind    = "plain"
+	shortKind    = "below 20k"
+	longKind     = "below 80k"
+	veryLongKind = "80k and more"
 
-	longTokens, deepTokens = 20_000, 80_000
+	longTokens, veryLongTokens = 20_000, 80_000
 )
 
 // Loss is one lost request.
@@ -57,20 +57,20 @@
 	Kind     string    `json:"kind"`
 	Prompt   int64     `json:"prompt"`
 	Cause    Cause     `json:"cause"`
-	// Served tells that the answer was whole, but late.
+	// Served is set if the answer was complete but late.
 	Served bool `json:"served"`
 }
 
-// Report is what a set of logs tells.
+// Report holds the losses found in a set of logs.
 type Report struct {
 	Start time.Time `json:"start"`
-	// Requests counts all requests that were to be served, Tokens their prompts.
+	// Requests counts the requests that the configuration allows, Tokens their prompt tokens.
 	Requests int    `json:"requests"`
 	Tokens   int64  `json:"tokens"`
 	Losses   []Loss `json:"losses"`
 }
 
-// request is what the lines of one request tell.
+// request collects the lines of one request.
 type request struct {
 	id, instance string
 	at           time.Time
@@ -81,7 +81,7 @@
 	end          *explain.Line
 }
 
-// Find reads the fate of each request from lines in any order.
+// Find determines the outcome of each request from lines in any order.
 func Find(lines []explain.Line) Report {
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(a, b explain.Line) int { return a.Time.Compare(b.Time) })
@@ -98,7 +98,7 @@
 			byID[id] = r
 			order = append(order, r)
 		}
-		r.take(l)
+		r.addLine(l)
 	}
 	var out Report
 	for _, r := range order {
@@ -107,7 +107,7 @@
 	return out
 }
 
-func (r *request) take(l explain.Line) {
+func (r *request) addLine(l explain.Line) {
 	r.prompt = max(r.prompt, int64(l.Number("prompt")))
 	switch l.Event {
 	case "placed":
@@ -136,132 +136,134 @@
 	rep.Tokens += r.prompt
 	if lost {
 		rep.Losses = append(rep.Losses, Loss{
-			Request: r.id, Instance: r.instance, At: r.at, Kind: kind(r.prompt), Prompt: r.prompt, Cause: cause,
+			Request: r.id, Instance: r.instance, At: r.at, Kind: kindOf(r.prompt), Prompt: r.prompt, Cause: cause,
 			Served: r.end != nil && r.end.Event == "answered",
 		})
 	}
 }
 
-// cause returns why a request was lost, whether it was, and whether it counts at
-// all: one that the configuration does not allow does not.
+// cause returns why a request was lost, whether it was lost, and whether it counts:
+// requests that the configuration does not allow are left out.
 func (r *request) cause() (c Cause, lost, counts bool) {
 	if r.end == nil {
 		return InstanceLost, true, true
 	}
 	switch r.end.Event {
 	case "answered":
-		c, lost = r.late()
+		c, lost = r.lateCause()
 		return c, lost, true
 	case "refused":
-		c, counts = r.refusal()
+		c, counts = r.refusalCause()
 		return c, true, counts
 	case "client gone":
 		if len(r.placed) == 0 {
-			return LeftHeld, true, true
+			return ClientLeftHeld, true, true
 		}
-		return LeftWaiting, true, true
+		return ClientLeftPlaced, true, true
 	case "stream broken off":
-		return BrokenOff, true, true
+		return StreamBroken, true, true
 	default:
 		return ServerError, true, true
 	}
 }
 
-// late judges a whole answer by the route's objectives.
-func (r *request) late() (Cause, bool) {
+// lateCause compares a complete answer with the latency targets of its route.
+func (r *request) lateCause() (Cause, bool) {
 	first, target := r.end.Number("first"), r.end.Number("first_target")
 	gap, gapTarget := r.end.Number("longest_gap"), r.end.Number("gap_target")
 	switch {
 	case target <= 0:
 		return "", false
 	case gapTarget > 0 && gap > gapTarget:
-		return r.pause(gapTarget), true
+		return r.pauseCause(gapTarget), true
 	case first > target:
-		return r.firstLate(target), true
+		return r.firstEventCause(target), true
 	default:
 		return "", false
 	}
 }
 
-// shareOfPause is the part of a useful pause from which the reading or the writing
-// beside an answer explains a pause that was too long.
-const shareOfPause = 0.25
+// minPauseShare is the share of the gap target from which prefill, or a pass of the
+// engine, beside an answer counts as the cause of a gap over the target.
+const minPauseShare = 0.25
 
-func (r *request) pause(target float64) Cause {
+func (r *request) pauseCause(target float64) Cause {
 	switch {
 	case len(r.failed) > 0:
-		return Moved
-	case r.end.Number("gap_read") >= shareOfPause*target:
-		return PauseReading
-	case r.end.Number("gap_pass") >= shareOfPause*target:
-		return PauseWriting
+		return Retried
+	case r.end.Number("gap_read") >= minPauseShare*target:
+		return PausePrefill
+	case r.end.Number("gap_pass") >= minPauseShare*target:
+		return PauseBatch
 	default:
 		return PauseOther
 	}
 }
 
-// muchLater is the factor by which a first event must miss its prediction.
-const muchLater = 1.5
+// lateFactor is the factor over its prediction from which a first event counts as
+// mispredicted.
+const lateFactor = 1.5
 
-func (r *request) firstLate(target float64) Cause {
+func (r *request) firstEventCause(target float64) Cause {
 	last := r.placed[len(r.placed)-1]
 	held, predicted := last.Number("held"), last.Number("predicted")
 	waiting, _ := last.Fields["waiting"].(bool)
 	switch {
 	case r.prompt == 0:
-		return ServiceSlow
+		return SlowAnswer
 	case len(r.failed) > 0:
-		return Moved
-	case held > target/2 && r.prompt >= deepTokens:
+		return Retried
+	case held > target/2 && r.prompt >= veryLongTokens:
 		return HeldForTurn
 	case held > target/2:
 		return HeldForSlot
 	case waiting:
 		return EngineFull
-	case r.end.Number("first")-held > muchLater*predicted:
-		return LaterThan
+	case r.end.Number("first")-held > lateFactor*predicted:
+		return LaterThanPredicted
 	default:
-		return BusyEngines
+		return EnginesBusy
 	}
 }
 
-// firstServed is the first result code of a request that was to be served.
-const firstServed = 2000
+// minCountedCode is the lowest result code of a request that counts; lower codes are errors
+// of the caller.
+const minCountedCode = 2000
 
-// refusals are the causes by result code.
-var refusals = map[result.Code]Cause{
-	result.Overloaded: NoRoom, result.TooLongForFleet: NoRoom, result.NoBackend: NoServer, result.NoConfiguration: NoConfig,
-	result.Draining: ShuttingDown, result.DeadlineNotRun: Deadline, result.DeadlinePassed: Deadline, result.BackendFailed: ServerError,
+// causeByCode maps the result codes of refused requests to causes.
+var causeByCode = map[result.Code]Cause{
+	result.Overloaded: NoCapacity, result.TooLongForFleet: NoCapacity, result.NoBackend: NoServer, result.NoConfiguration: NoConfig,
+	result.Draining: ShuttingDown, result.DeadlineNotRun: DeadlinePassed, result.DeadlinePassed: DeadlinePassed, result.BackendFailed: ServerError,
 }
 
-func (r *request) refusal() (Cause, bool) {
+func (r *request) refusalCause() (Cause, bool) {
 	code := result.Code(r.end.Number("code"))
-	if code < firstServed {
+	if code < minCountedCode {
 		return "", false
 	}
-	if c, ok := refusals[code]; ok {
+	if c, ok := causeByCode[code]; ok {
 		return c, true
 	}
 	return Unexplained, true
 }
 
-func kind(prompt int64) string {
+func kindOf(prompt int64) string {
 	switch {
 	case prompt <= 0:
 		return plainKind
 	case prompt < longTokens:
 		return shortKind
-	case prompt < deepTokens:
+	case prompt < veryLongTokens:
 		return longKind
 	default:
-		return deepKind
+		return veryLongKind
 	}
 }
 
-// Kinds returns the kinds in their order.
-func Kinds() []string { return []string{shortKind, longKind, deepKind, plainKind} }
+// Kinds returns the kinds in the order of the report.
+func Kinds() []string { return []string{shortKind, longKind, veryLongKind, plainKind} }
 
-// Causes returns the causes of a report, the one that cost most tokens first.
+// Causes returns the causes of a report in descending order of lost prompt tokens.
 func (rep Report) Causes() []Cause {
 	tokens, count := map[Cause]int64{}, map[Cause]int{}
 	for _, l := range rep.Losses {
--- a/losses/write.go
+++ b/losses/write.go
@@ -10,34 +10,34 @@
 	"time"
 )
 
-// span is the length of the parts of a day that the tables tell of.
-const span = 2 * time.Second
+// interval is the length of the time intervals by which losses are grouped.
+const interval = 2 * time.Second
 
-// Sizes of the tables.
+// Maximum numbers of rows.
 const (
-	worstSpans   = 10
-	largestShown = 5
+	worstIntervals = 10
+	maxLargest     = 5
 )
 
-// JSON writes the report for scripts.
+// JSON writes the report as JSON.
 func (rep Report) JSON(out io.Writer) error {
 	e := json.NewEncoder(out)
 	e.SetIndent("", "  ")
 	return e.Encode(rep)
 }
 
-// Write prints the tables: causes by kind, causes in the worst seconds, and the
-// largest losses.
+// Write prints three tables: causes by kind, causes in the intervals with most losses,
+// and the losses with the longest prompts.
 func (rep Report) Write(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(w, "%d requests, %d lost (%d served late)\n\n", rep.Requests, len(rep.Losses), rep.late())
-	rep.byKind(w)
-	rep.bySecond(w)
-	rep.largest(w)
+	fmt.Fprintf(w, "%d requests, %d lost (%d served late)\n\n", rep.Requests, len(rep.Losses), rep.servedLate())
+	rep.writeByKind(w)
+	rep.writeByInterval(w)
+	rep.writeLargest(w)
 	return w.Flush()
 }
 
-func (rep Report) late() (n int) {
+func (rep Report) servedLate() (n int) {
 	for _, l := range rep.Losses {
 		if l.Served {
 			n++
@@ -46,7 +46,7 @@
 	return n
 }
 
-func (rep Report) byKind(w io.Writer) {
+func (rep Report) writeByKind(w io.Writer) {
 	fmt.Fprint(w, "CAUSE")
 	for _, k := range Kinds() {
 		fmt.Fprintf(w, "\t%s", k)
@@ -63,10 +63,10 @@
 	}
 }
 
-// count counts losses and the tokens of their prompts.
-func (rep Report) count(of func(Loss) bool) (n int, tokens int64) {
+// count returns the number of matching losses and the sum of their prompt tokens.
+func (rep Report) count(match func(Loss) bool) (n int, tokens int64) {
 	for _, l := range rep.Losses {
-		if of(l) {
+		if match(l) {
 			n++
 			tokens += l.Prompt
 		}
@@ -74,10 +74,10 @@
 	return n, tokens
 }
 
-func (rep Report) bySecond(w io.Writer) {
+func (rep Report) writeByInterval(w io.Writer) {
 	lost := map[int][]Loss{}
 	for _, l := range rep.Losses {
-		i := int(l.At.Sub(rep.Start) / span)
+		i := int(l.At.Sub(rep.Start) / interval)
 		lost[i] = append(lost[i], l)
 	}
 	var order []int
@@ -85,12 +85,12 @@
 		order = append(order, i)
 	}
 	slices.SortFunc(order, func(a, b int) int { return cmp.Or(cmp.Compare(len(lost[b]), len(lost[a])), cmp.Compare(a, b)) })
-	order = order[:min(worstSpans, len(order))]
+	order = order[:min(worstIntervals, len(order))]
 	slices.Sort(order)
 	fmt.Fprintf(w, "\nFROM SECOND\tLOST\tMOSTLY\n")
 	for _, i := range order {
 		sub := Report{Losses: lost[i]}
-		fmt.Fprintf(w, "%g\t%d", (time.Duration(i) * span).Seconds(), len(lost[i]))
+		fmt.Fprintf(w, "%g\t%d", (time.Duration(i) * interval).Seconds(), len(lost[i]))
 		for _, c := range sub.Causes() {
 			n, _ := sub.count(func(l Loss) bool { return l.Cause == c })
 			fmt.Fprintf(w, "\t%s %d", c, n)
@@ -99,11 +99,11 @@
 	}
 }
 
-func (rep Report) largest(w io.Writer) {
+func (rep Report) writeLargest(w io.Writer) {
 	all := slices.Clone(rep.Losses)
 	slices.SortFunc(all, func(a, b Loss) int { return cmp.Or(cmp.Compare(b.Prompt, a.Prompt), a.At.Compare(b.At)) })
 	fmt.Fprintf(w, "\nLARGEST\tPROMPT\tAT SECOND\tINSTANCE\tCAUSE\n")
-	for _, l := range all[:min(largestShown, len(all))] {
+	for _, l := range all[:min(maxLargest, len(all))] {
 		fmt.Fprintf(w, "%s\t%d\t%.3f\t%s\t%s\n", l.Request, l.Prompt, l.At.Sub(rep.Start).Seconds(), l.Instance, l.Cause)
 	}
 }
