--- a/e2e/platform_test.go
+++ b/e2e/platform_test.go
@@ -20,9 +20,9 @@
 	"github.com/auburnmoor/auburnmoor/lab/standin/workerserver"
 )
 
-// estate is a site on the users' platform: stand-ins of its store and of its
-// backend servers in the test's process, entry instances as processes.
-type estate struct {
+// platformSite is a site on the users' platform: the store and the backend servers are
+// stand-ins in the test process, the entry instances are processes.
+type platformSite struct {
 	*fleet
 	store   *storeserver.Server
 	engines []*workerserver.Server
@@ -30,45 +30,46 @@
 	version int
 }
 
-const estateBase = 19_000
+const platformBasePort = 19_000
 
-func estateAddr(offset int) string { return fmt.Sprintf("127.0.0.1:%d", estateBase+offset) }
+func platformAddr(offset int) string { return fmt.Sprintf("127.0.0.1:%d", platformBasePort+offset) }
 
-// Sizes of the stand-in engines: a prompt of 150,000 tokens needs two of them.
+// Memory in tokens and events per answer of a stand-in engine; a prompt of 150,000 tokens
+// needs two engines.
 const (
 	engineMemory = 100_000
 	streamEvents = 12
 )
 
-func newEstate() *estate {
-	return newEstateOf(3, workerserver.Config{Events: streamEvents, EventPause: 20 * time.Millisecond, Memory: engineMemory})
+func newPlatformSite() *platformSite {
+	return newPlatformSiteWith(3, workerserver.Config{Events: streamEvents, EventPause: 20 * time.Millisecond, Memory: engineMemory})
 }
 
-// newEstateOf starts a site with so many engines of one kind.
-func newEstateOf(engines int, engine workerserver.Config) *estate {
-	s := &estate{fleet: builtFleet(), store: storeserver.New(estateAddr(1))}
+// newPlatformSiteWith starts a site with the given number of identical engines.
+func newPlatformSiteWith(engines int, engine workerserver.Config) *platformSite {
+	s := &platformSite{fleet: buildFleet(), store: storeserver.New(platformAddr(1))}
 	Expect(s.store.Start()).To(Succeed())
 	for i := range engines {
-		s.engines = append(s.engines, s.server(fmt.Sprint("e", i), "model", engine))
+		s.engines = append(s.engines, s.startServer(fmt.Sprint("e", i), "model", engine))
 	}
 	for i := range 3 {
-		s.plain = append(s.plain, s.server(fmt.Sprint("p", i), "registry", workerserver.Config{}))
+		s.plain = append(s.plain, s.startServer(fmt.Sprint("p", i), "registry", workerserver.Config{}))
 	}
 	s.configure("k1")
 	for i := range 3 {
-		s.entry(i)
+		s.startEntry(i)
 	}
 	for i := range 3 {
-		Eventually(func() int { return call("GET", "http://"+estateAddr(300+i)+"/readiness", "").status }, "15s", "50ms").Should(Equal(200))
-		Eventually(func() string { return call("GET", "http://"+estateAddr(200+i)+"/resolve?name=h&zone=dc-1", "").body }, "15s", "50ms").
-			Should(And(ContainSubstring(estateAddr(100)), ContainSubstring(estateAddr(101)), ContainSubstring(estateAddr(102))))
-		Eventually(func() string { return call("GET", "http://"+estateAddr(500+i)+"/admin/dump", "").body }, "15s", "50ms").
+		Eventually(func() int { return call("GET", "http://"+platformAddr(300+i)+"/readiness", "").status }, "15s", "50ms").Should(Equal(200))
+		Eventually(func() string { return call("GET", "http://"+platformAddr(200+i)+"/resolve?name=h&zone=dc-1", "").body }, "15s", "50ms").
+			Should(And(ContainSubstring(platformAddr(100)), ContainSubstring(platformAddr(101)), ContainSubstring(platformAddr(102))))
+		Eventually(func() string { return call("GET", "http://"+platformAddr(500+i)+"/admin/dump", "").body }, "15s", "50ms").
 			Should(MatchRegexp(`"config_state":\s*"confirmed"`))
 	}
 	return s
 }
 
-func (s *estate) server(id, service string, cfg workerserver.Config) *workerserver.Server {
+func (s *platformSite) startServer(id, service string, cfg workerserver.Config) *workerserver.Server {
 	cfg.ID, cfg.Addr = id, "127.0.0.1:0"
 	w := workerserver.New(cfg)
 	Expect(w.Start()).To(Succeed())
@@ -76,12 +77,12 @@
 	return w
 }
 
-func (s *estate) announce(id, service, addr, state string) {
+func (s *platformSite) announce(id, service, addr, state string) {
 	Expect(s.store.PutEntry(storeserver.Entry{ID: id, Service: service, Addr: addr, DataCentre: "dc-0", Slots: 4, Leaving: state == "draining"})).To(Succeed())
 }
 
-// configure writes the next version, in which one customer holds a key.
-func (s *estate) configure(key string) {
+// configure stores the next configuration version, in which one customer has the given key.
+func (s *platformSite) configure(key string) {
 	s.version += 3
 	route := func(name, kind, service string) storeserver.Route {
 		return storeserver.Route{Name: name, Host: "h.example", Prefix: "/" + name + "/", Kind: kind, Service: service, TimeoutMS: 8000}
@@ -92,7 +93,7 @@
 	})).To(Succeed())
 }
 
-func (s *estate) entry(i int) {
+func (s *platformSite) startEntry(i int) {
 	name := fmt.Sprint("entry-", i)
 	path := filepath.Join(s.dir, name+".toml")
 	Expect(os.WriteFile(path, []byte(fmt.Sprintf(`[instance]
@@ -112,11 +113,11 @@
 ready = %q
 [control.members]
 gossip = "200ms"
-`, name, i, estateAddr(100+i), estateAddr(400+i), estateAddr(500+i), estateAddr(1), estateAddr(400), estateAddr(200+i), estateAddr(300+i))), 0o600)).To(Succeed())
+`, name, i, platformAddr(100+i), platformAddr(400+i), platformAddr(500+i), platformAddr(1), platformAddr(400), platformAddr(200+i), platformAddr(300+i))), 0o600)).To(Succeed())
 	s.start(name, "serve", "--config", path)
 }
 
-func (s *estate) close() {
+func (s *platformSite) close() {
 	s.stop()
 	s.store.Close()
 	for _, w := range append(s.engines, s.plain...) {
@@ -124,15 +125,15 @@
 	}
 }
 
-// attempt is a client attempt at entry 0.
+// attempt is one request of a client.
 type attempt struct {
 	path, id, key string
 	tokens        int
 	body          string
 }
 
-// try sends an attempt whose fate does not matter.
-func (a attempt) try(entry int) {
+// sendAndDiscard sends the request and ignores its outcome.
+func (a attempt) sendAndDiscard(entry int) {
 	resp, err := http.DefaultClient.Do(a.request(entry))
 	if err != nil {
 		return
@@ -142,7 +143,7 @@
 }
 
 func (a attempt) request(entry int) *http.Request {
-	req, err := http.NewRequest(http.MethodPost, "http://"+estateAddr(100+entry)+a.path, strings.NewReader(a.body))
+	req, err := http.NewRequest(http.MethodPost, "http://"+platformAddr(100+entry)+a.path, strings.NewReader(a.body))
 	Expect(err).NotTo(HaveOccurred())
 	req.Host = "h.example"
 	req.Header.Set("X-Request-Id", a.id)
@@ -164,7 +165,7 @@
 	return resp, string(raw)
 }
 
-func wholeStream(id string) string {
+func completeStream(id string) string {
 	var b bytes.Buffer
 	for n := 1; n <= streamEvents; n++ {
 		b.WriteString(workerserver.Event(id, n))
@@ -179,7 +180,7 @@
 	return n
 }
 
-func sealOfOne(servers []string, id string) []string {
+func sealsOf(servers []string, id string) []string {
 	var out []string
 	for _, s := range servers {
 		out = append(out, workerserver.Seal(s, id))
@@ -190,20 +191,20 @@
 var engineIDs = []string{"e0", "e1", "e2"}
 
 var _ = Describe("on the users' platform", Ordered, func() {
-	var s *estate
-	BeforeAll(func() { s = newEstate() })
+	var s *platformSite
+	BeforeAll(func() { s = newPlatformSite() })
 	AfterAll(func() { s.close() })
 
-	It("passes a stream on with its signature and every event", func() {
+	It("relays a stream with its signature and every event", func() {
 		resp, body := attempt{path: "/ask/1?x=%20y", id: "s1", key: "k1", tokens: 900, body: "prompt"}.send(0)
 		Expect(resp.StatusCode).To(Equal(200))
-		Expect(body).To(Equal(wholeStream("s1")))
-		Expect(resp.Header.Get("X-Response-Seal")).To(BeElementOf(sealOfOne(engineIDs, "s1")))
+		Expect(body).To(Equal(completeStream("s1")))
+		Expect(resp.Header.Get("X-Response-Seal")).To(BeElementOf(sealsOf(engineIDs, "s1")))
 		Expect(resp.Header.Get("X-Request-Id")).To(Equal("s1"))
 		Expect(runs(s.engines, "s1")).To(Equal(1))
 	})
 
-	It("tells the server the customer's name and the time left, and keeps the key", func() {
+	It("forwards the customer's name and the remaining time to the server, but not the key", func() {
 		_, _ = attempt{path: "/print/a/b?q=1", id: "u0", key: "k1", body: "label"}.send(0)
 		var seen []workerserver.Seen
 		for _, w := range s.plain {
@@ -229,9 +230,9 @@
 		Expect(resp.StatusCode).To(Equal(401))
 	})
 
-	// A parcel gets two labels. The server printed one, the connection broke, and
-	// the instance sent the request to another server.
-	DescribeTable("never runs a once-only request twice", func(f workerserver.Fault, status int) {
+	// Guards against a non-idempotent request that runs twice: a server runs it, the connection
+	// breaks, and the instance sends it to another server.
+	DescribeTable("never runs a non-idempotent request twice", func(f workerserver.Fault, status int) {
 		id := "once-" + string(f)
 		for _, w := range s.plain {
 			w.Inject(f)
@@ -256,9 +257,9 @@
 		Entry("a second answer", workerserver.Extra, 200),
 	)
 
-	// A label is reported as not printed, and a client that believes it prints
-	// another: only a server's own promise may become such a refusal.
-	It("says that a request did not run only when no server ran it", func() {
+	// Guards against a request that is reported as not run although it ran, so that the client
+	// repeats it. Only a server's explicit statement may be turned into such a refusal.
+	It("reports a request as not run only if no server ran it", func() {
 		for _, w := range s.plain {
 			w.Inject(workerserver.Shed)
 		}
@@ -271,7 +272,7 @@
 		Expect(runs(s.plain, "shed")).To(BeZero())
 	})
 
-	DescribeTable("asks another server for an idempotent request", func(f workerserver.Fault) {
+	DescribeTable("retries an idempotent request at another server", func(f workerserver.Fault) {
 		id := "again-" + string(f)
 		s.plain[0].Inject(f)
 		s.plain[1].Inject(f)
@@ -280,8 +281,8 @@
 		for _, w := range s.plain {
 			w.ClearFaults()
 		}
-		// All servers fail once, so the second attempt fails as well where the
-		// first did; without faults left it succeeds.
+		// Each server fails once, so the retry may fail too; it succeeds at a server that has
+		// no fault left.
 		if resp.StatusCode == 200 {
 			Expect(body).To(Equal(workerserver.Body(id)))
 		}
@@ -298,10 +299,10 @@
 		Entry("no answer", workerserver.Mute),
 	)
 
-	// A caller gets the answer of somebody else. The server sent its last answer
-	// twice, and the second copy arrived on the kept connection where the answer
-	// to the next request was due.
-	It("gives each caller its own answer after extra answers", func() {
+	// Guards against a caller that gets the answer to another request: a server sends an answer
+	// twice, and the copy is read from the kept-alive connection as the answer to the next
+	// request.
+	It("returns the right answer to each caller after a server sent an answer twice", func() {
 		for i := range 30 {
 			s.plain[i%3].Inject(workerserver.Extra)
 			id := fmt.Sprint("own-", i)
@@ -311,9 +312,9 @@
 		}
 	})
 
-	// A review arrives with a piece missing or twice. The engine broke off in the
-	// middle of an event, and the stream went on at another engine.
-	It("continues a broken stream at another engine without a gap", func() {
+	// Guards against missing or duplicated events when an engine fails in the middle of an event
+	// and the stream continues at another engine.
+	It("resumes a broken stream at another engine without a gap", func() {
 		for _, w := range s.engines {
 			w.Inject(workerserver.Cut)
 		}
@@ -322,13 +323,13 @@
 			w.ClearFaults()
 		}
 		Expect(resp.StatusCode).To(Equal(200))
-		Expect(body).To(Equal(wholeStream("resume")))
+		Expect(body).To(Equal(completeStream("resume")))
 		Expect(runs(s.engines, "resume")).To(Equal(2))
 	})
 
-	// A review ends in the middle and looks complete: the engine that was to go on
-	// failed, and its answer was appended.
-	It("breaks a stream off when the engine that was to go on fails", func() {
+	// Guards against a truncated answer that looks complete because the error answer of the
+	// engine that was to resume the stream was appended to it.
+	It("aborts a stream if the engine that is to resume it fails", func() {
 		defer func() {
 			for _, w := range s.engines {
 				w.ClearFaults()
@@ -339,7 +340,7 @@
 				w.ClearFaults()
 				w.Inject(workerserver.Cut)
 			}
-			req, err := http.NewRequest(http.MethodPost, "http://"+estateAddr(100)+"/ask/1", strings.NewReader("x"))
+			req, err := http.NewRequest(http.MethodPost, "http://"+platformAddr(100)+"/ask/1", strings.NewReader("x"))
 			Expect(err).NotTo(HaveOccurred())
 			req.Host = "h.example"
 			id := fmt.Sprint("half-", time.Now().UnixNano())
@@ -349,7 +350,7 @@
 			resp, err := http.DefaultClient.Do(req)
 			Expect(err).NotTo(HaveOccurred())
 			defer resp.Body.Close()
-			// The first half is out; whoever goes on fails.
+			// The first half has been sent; every engine that is to resume the stream fails.
 			for _, w := range s.engines {
 				w.ClearFaults()
 				w.Inject(workerserver.Failed)
@@ -358,46 +359,45 @@
 			if err == nil {
 				return string(raw)
 			}
-			Expect(wholeStream(id)).To(HavePrefix(string(raw)))
+			Expect(completeStream(id)).To(HavePrefix(string(raw)))
 			return "broken off"
 		}
 		Expect(outcome()).To(Equal("broken off"))
 	})
 
-	It("reads a prompt larger than one engine on two and gives the memory back", func() {
+	It("prefills a prompt larger than one engine on two engines and releases the memory", func() {
 		resp, body := attempt{path: "/ask/1", id: "large", key: "k1", tokens: 150_000}.send(0)
 		Expect(resp.StatusCode).To(Equal(200))
-		Expect(body).To(Equal(wholeStream("large")))
-		helped := false
+		Expect(body).To(Equal(completeStream("large")))
+		hasHelpers := false
 		for _, w := range s.engines {
 			for _, v := range w.Seen() {
-				helped = helped || v.ID == "large" && strings.Contains(v.Helpers, "/large-")
+				hasHelpers = hasHelpers || v.ID == "large" && strings.Contains(v.Helpers, "/large-")
 			}
 		}
-		Expect(helped).To(BeTrue())
+		Expect(hasHelpers).To(BeTrue())
 		for _, w := range s.engines {
 			Eventually(w.Reserved, "5s", "20ms").Should(BeZero())
 			Expect(w.DoubleUse()).To(BeZero())
 		}
 	})
 
-	// An engine works on for callers who have left, and those who stay wait.
-	// An engine answers fewer and fewer long prompts: memory was set aside by an
-	// order that got no answer and was carried out after the request had ended, or
-	// the order that gives memory back was lost. Nobody was left to end it.
-	DescribeTable("loses no memory when orders are", func(reserve []workerserver.OrderFault) {
+	// Guards against leaked reservations, which let an engine serve fewer and fewer long prompts:
+	// a reserve order that got no reply is executed after its request has ended, or the release
+	// order is lost.
+	DescribeTable("leaks no engine memory if orders are", func(reserve []workerserver.OrderFault) {
 		for _, e := range s.engines {
 			e.InjectOrder(reserve...)
 		}
 		id := "orders-" + string(reserve[0])
 		resp, body := attempt{path: "/ask/1", id: id, key: "k1", tokens: 150_000}.send(0)
 		if resp.StatusCode == 200 {
-			Expect(body).To(Equal(wholeStream(id)))
+			Expect(body).To(Equal(completeStream(id)))
 		} else {
 			Expect(resp.StatusCode).To(BeElementOf(429, 503))
 			Expect(runs(s.engines, id)).To(BeZero())
 		}
-		// Late orders are carried out within a second.
+		// Late orders are executed within a second.
 		time.Sleep(time.Second)
 		for _, e := range s.engines {
 			Eventually(e.Reserved, "4s", "20ms").Should(BeZero())
@@ -410,8 +410,9 @@
 		Entry("late again and again", []workerserver.OrderFault{workerserver.OrderLate, workerserver.OrderLate, workerserver.OrderLate, workerserver.OrderLate}),
 	)
 
-	It("ends the work of a client that leaves", func() {
-		req, err := http.NewRequest(http.MethodPost, "http://"+estateAddr(100)+"/ask/1", strings.NewReader("x"))
+	// Guards against engines that work for disconnected clients while other requests wait.
+	It("cancels the request of a client that disconnects", func() {
+		req, err := http.NewRequest(http.MethodPost, "http://"+platformAddr(100)+"/ask/1", strings.NewReader("x"))
 		Expect(err).NotTo(HaveOccurred())
 		req.Host = "h.example"
 		req.Header.Set("X-Request-Id", "leaves")
@@ -425,8 +426,8 @@
 		Eventually(func() int { return s.engines[0].Left() + s.engines[1].Left() + s.engines[2].Left() }, "3s", "20ms").Should(BeNumerically(">=", 1))
 	})
 
-	// A leaving server still gets requests, and cuts them off when it ends.
-	It("sends nothing to a server that is leaving", func() {
+	// Guards against requests that are sent to a draining server and cut off when it exits.
+	It("sends nothing to a draining server", func() {
 		s.announce("p0", "registry", s.plain[0].Addr(), "draining")
 		Eventually(func() bool {
 			before := len(s.plain[0].Seen())
@@ -438,9 +439,9 @@
 		s.announce("p0", "registry", s.plain[0].Addr(), "ready")
 	})
 
-	// A key that was taken away goes on working at instances that the store turns
-	// away or that restart; a new key fails there.
-	It("puts a configuration in force at every instance and never goes back", func() {
+	// Guards against a revoked key that still works, and a new key that fails, at instances
+	// whose store requests are rejected or that restart.
+	It("applies a configuration at every instance and never an older one", func() {
 		s.configure("k2")
 		for i := range 3 {
 			Eventually(func() int {
@@ -460,7 +461,7 @@
 		}
 	})
 
-	It("serves on while the store is down", func() {
+	It("serves while the store is down", func() {
 		s.store.SetFaults(storeserver.Faults{Down: true})
 		time.Sleep(300 * time.Millisecond)
 		for i := range 3 {
@@ -470,63 +471,64 @@
 		s.store.SetFaults(storeserver.Faults{})
 	})
 
-	// Requests are refused while most servers stand ready: the store is away, some servers
-	// leave, and each instance learned of each of them by requests of its own callers.
-	It("passes over a server at all instances that one of them saw turn work away", func() {
-		leaving := s.server("a0", "registry", workerserver.Config{Always: workerserver.Shed})
+	// Guards against requests that are refused while most servers are ready: the store is down,
+	// some servers drain, and each instance learns of each of them only through refused requests
+	// of its own callers.
+	It("avoids a server at all instances after it refused a request of one of them", func() {
+		leaving := s.startServer("a0", "registry", workerserver.Config{Always: workerserver.Shed})
 		defer leaving.Close()
 		defer s.store.Delete("servers", "a0")
-		look := func(entry, n int) {
+		sendTo := func(entry, n int) {
 			resp, _ := attempt{path: "/look/1", id: fmt.Sprintf("away-%d-%d", entry, n), key: "k1"}.send(entry)
 			Expect(resp.StatusCode).To(Equal(200))
 		}
-		var began time.Time
+		var lastRefused time.Time
 		sent := 0
 		Eventually(func() int {
 			sent++
-			began = time.Now()
-			look(0, sent)
+			lastRefused = time.Now()
+			sendTo(0, sent)
 			return len(leaving.Seen())
 		}, "5s", "20ms").Should(Equal(1))
 		for i := 1; i < 3; i++ {
-			Eventually(func() string { return call("GET", "http://"+estateAddr(500+i)+"/admin/dump", "").body }, "1s", "5ms").
+			Eventually(func() string { return call("GET", "http://"+platformAddr(500+i)+"/admin/dump", "").body }, "1s", "5ms").
 				Should(MatchRegexp(`"passed_over":\s*\[\s*"a0"`))
 			for n := range 4 {
-				look(i, n)
+				sendTo(i, n)
 			}
 		}
-		triedAgain := 3 * int(time.Since(began)/(1500*time.Millisecond))
-		Expect(len(leaving.Seen())).To(BeNumerically("<=", 1+triedAgain))
+		maxRetries := 3 * int(time.Since(lastRefused)/(1500*time.Millisecond))
+		Expect(len(leaving.Seen())).To(BeNumerically("<=", 1+maxRetries))
 	})
 
-	// All instances refuse all requests: a tool of another team wrote one entry of its
-	// own among those of the servers, which none of them could read.
-	It("serves on among entries of another writer, through an outage and a restart", func() {
-		spoil := func(kind, name string) { Expect(s.store.Put(kind, name, []any{"not", "ours"})).To(Succeed()) }
-		serves := func(step string) {
+	// Guards against instances that refuse all requests because another tool stored an entry
+	// among those of the servers that they cannot decode.
+	It("serves despite undecodable entries, through an outage and a restart", func() {
+		putUndecodable := func(kind, name string) { Expect(s.store.Put(kind, name, []any{"not", "ours"})).To(Succeed()) }
+		checkServes := func(step string) {
 			for i := range 3 {
 				resp, _ := attempt{path: "/look/1", id: fmt.Sprint("other-", step, i, time.Now().UnixNano()), key: "k1"}.send(i)
 				Expect(resp.StatusCode).To(Equal(200), "%s at instance %d", step, i)
 			}
 		}
 		for i := range 5 {
-			spoil("servers", fmt.Sprint("a-tool-", i))
-			spoil("auburnmoor-entries", fmt.Sprint("a-tool-", i))
+			putUndecodable("servers", fmt.Sprint("a-tool-", i))
+			putUndecodable("auburnmoor-entries", fmt.Sprint("a-tool-", i))
 		}
-		serves("new entries")
+		checkServes("new entries")
 		s.store.SetFaults(storeserver.Faults{Down: true})
 		time.Sleep(300 * time.Millisecond)
-		serves("outage")
+		checkServes("outage")
 		s.store.SetFaults(storeserver.Faults{ForgetHistory: true})
 		s.signal("entry-2", syscall.SIGTERM)
 		s.wait("entry-2")
-		s.entry(2)
-		Eventually(func() int { return call("GET", "http://"+estateAddr(302)+"/readiness", "").status }, "15s", "50ms").Should(Equal(200))
-		serves("restart")
-		// Changes are still seen; among idle servers the first by name is used.
-		fresh := s.server("a9", "registry", workerserver.Config{})
+		s.startEntry(2)
+		Eventually(func() int { return call("GET", "http://"+platformAddr(302)+"/readiness", "").status }, "15s", "50ms").Should(Equal(200))
+		checkServes("restart")
+		// Changes are still applied; of idle servers, the first by name is used.
+		fresh := s.startServer("a9", "registry", workerserver.Config{})
 		Eventually(func() int {
-			serves("new server")
+			checkServes("new server")
 			return len(fresh.Seen())
 		}, "5s", "50ms").Should(BeNumerically(">", 0))
 		s.store.Delete("servers", "a9")
@@ -537,8 +539,8 @@
 		}
 	})
 
-	It("uses a server again whose entry was spoilt, and one that starts again under its ID", func() {
-		seen := func(n int) func() bool {
+	It("uses a server again after its entry was undecodable, and after a restart under the same ID", func() {
+		receives := func(n int) func() bool {
 			return func() bool {
 				before := len(s.plain[n].Seen())
 				for i := range 6 {
@@ -548,25 +550,25 @@
 			}
 		}
 		Expect(s.store.Put("servers", "p1", map[string]any{"state": 7})).To(Succeed())
-		Eventually(seen(1), "3s", "50ms").Should(BeFalse())
+		Eventually(receives(1), "3s", "50ms").Should(BeFalse())
 		s.announce("p1", "registry", s.plain[1].Addr(), "ready")
-		Eventually(seen(1), "3s", "50ms").Should(BeTrue())
-		life := func(state string, born int) {
+		Eventually(receives(1), "3s", "50ms").Should(BeTrue())
+		putState := func(state string, born int) {
 			Expect(s.store.Put("servers", "p0", map[string]any{
 				"service": "registry", "address": s.plain[0].Addr(), "zone": "dc-0", "slots": 4, "state": state, "born": born,
 			})).To(Succeed())
 		}
-		life("draining", 1000)
-		Eventually(seen(0), "3s", "50ms").Should(BeFalse())
-		life("ready", 1000)
-		Consistently(seen(0), "1s", "50ms").Should(BeFalse())
-		life("ready", 2000)
-		Eventually(seen(0), "3s", "50ms").Should(BeTrue())
+		putState("draining", 1000)
+		Eventually(receives(0), "3s", "50ms").Should(BeFalse())
+		putState("ready", 1000)
+		Consistently(receives(0), "1s", "50ms").Should(BeFalse())
+		putState("ready", 2000)
+		Eventually(receives(0), "3s", "50ms").Should(BeTrue())
 	})
 
-	// Long prompts wait though the engines are idle: the work of a request that had
-	// ended was never taken off, and all instances went on counting it.
-	It("counts no work when nothing is in progress", func() {
+	// Guards against long prompts that wait although the engines are idle, because all instances
+	// still count the load of a request that has ended.
+	It("counts no load when no request is in progress", func() {
 		for i := range 3 {
 			Eventually(func() map[string]any {
 				var d struct {
@@ -574,22 +576,22 @@
 						Totals map[string]any `json:"totals"`
 					} `json:"control.loads"`
 				}
-				Expect(json.Unmarshal([]byte(call("GET", "http://"+estateAddr(500+i)+"/admin/dump", "").body), &d)).To(Succeed())
+				Expect(json.Unmarshal([]byte(call("GET", "http://"+platformAddr(500+i)+"/admin/dump", "").body), &d)).To(Succeed())
 				Expect(d.Loads.Totals).NotTo(BeNil())
 				return d.Loads.Totals
 			}, "10s", "50ms").Should(BeEmpty())
 		}
 	})
 
-	It("goes on serving after SIGHUP", func() {
+	It("keeps serving after SIGHUP", func() {
 		s.signal("entry-2", syscall.SIGHUP)
 		time.Sleep(200 * time.Millisecond)
 		resp, _ := attempt{path: "/look/1", id: "hup", key: "k1"}.send(2)
 		Expect(resp.StatusCode).To(Equal(200))
 	})
 
-	// A rolling restart cuts answers off.
-	It("finishes what it has when it is told to stop", func() {
+	// Guards against answers that are cut off by a rolling restart.
+	It("completes its requests after SIGTERM", func() {
 		type outcome struct{ body string }
 		done := make(chan outcome, 1)
 		go func() {
@@ -599,20 +601,20 @@
 		}()
 		Eventually(func() int { return runs(s.engines, "last") }, "3s", "5ms").Should(Equal(1))
 		s.signal("entry-2", syscall.SIGTERM)
-		Expect((<-done).body).To(Equal(wholeStream("last")))
-		Eventually(func() string { return call("GET", "http://"+estateAddr(200)+"/resolve?name=h&zone=dc-1", "").body }, "3s", "50ms").
-			ShouldNot(ContainSubstring(estateAddr(102)))
+		Expect((<-done).body).To(Equal(completeStream("last")))
+		Eventually(func() string { return call("GET", "http://"+platformAddr(200)+"/resolve?name=h&zone=dc-1", "").body }, "3s", "50ms").
+			ShouldNot(ContainSubstring(platformAddr(102)))
 		s.wait("entry-2")
 		var body struct {
 			Items []json.RawMessage `json:"items"`
 		}
-		Expect(json.Unmarshal([]byte(call("GET", "http://"+estateAddr(1)+"/objects/auburnmoor-entries", "").body), &body)).To(Succeed())
+		Expect(json.Unmarshal([]byte(call("GET", "http://"+platformAddr(1)+"/objects/auburnmoor-entries", "").body), &body)).To(Succeed())
 		Expect(body.Items).To(HaveLen(2))
 	})
 
-	// A review is cut off by a restart: the instance took it seconds after it was
-	// told to stop, and its time to drain ended before the review did.
-	It("refuses what comes long after it was told to stop", func() {
+	// Guards against an answer that is cut off by a restart because the instance accepted the
+	// request seconds after SIGTERM and its drain timeout ended first.
+	It("refuses requests that arrive long after SIGTERM", func() {
 		for _, w := range s.engines {
 			w.Inject(workerserver.Mute)
 		}
--- a/e2e/process_test.go
+++ b/e2e/process_test.go
@@ -21,15 +21,16 @@
 	"github.com/auburnmoor/auburnmoor/port/engine"
 )
 
-// fleet is a site of real processes.
+// fleet is a site whose instances and stand-ins run as processes.
 type fleet struct {
 	dir, bin string
 	procs    map[string]*exec.Cmd
 }
 
-const fleetBase = 18_000
+// fleetBasePort is the first port of the fleet.
+const fleetBasePort = 18_000
 
-func addr(offset int) string { return fmt.Sprintf("127.0.0.1:%d", fleetBase+offset) }
+func addr(offset int) string { return fmt.Sprintf("127.0.0.1:%d", fleetBasePort+offset) }
 
 func (f *fleet) start(name string, args ...string) {
 	cmd := exec.Command(f.bin, args...)
@@ -56,7 +57,7 @@
 	}
 }
 
-func (f *fleet) entry(i int) {
+func (f *fleet) startEntry(i int) {
 	name := fmt.Sprintf("entry-%d", i)
 	path := filepath.Join(f.dir, name+".toml")
 	conf := fmt.Sprintf(`[instance]
@@ -76,8 +77,8 @@
 	f.start(name, "serve", "--config", path)
 }
 
-// builtFleet returns a fleet without processes, with the program built.
-func builtFleet() *fleet {
+// buildFleet builds the program and returns a fleet that has no processes yet.
+func buildFleet() *fleet {
 	f := &fleet{dir: GinkgoT().TempDir(), procs: map[string]*exec.Cmd{}}
 	f.bin = filepath.Join(f.dir, "auburnmoor")
 	out, err := exec.Command("go", "build", "-o", f.bin, "../cmd/auburnmoor").CombinedOutput()
@@ -86,7 +87,7 @@
 }
 
 func newFleet() *fleet {
-	f := builtFleet()
+	f := buildFleet()
 	f.start("platform", "standin", "platform", "--addr", addr(1))
 	Eventually(func() int { return call("GET", "http://"+addr(1)+"/counts", "").status }, "10s", "50ms").Should(Equal(200))
 	for i := 1; i <= 2; i++ {
@@ -96,7 +97,7 @@
 	out, err := exec.Command(f.bin, "apply", "../examples/te-puna.toml", "--object-api", addr(1)).CombinedOutput()
 	Expect(err).NotTo(HaveOccurred(), string(out))
 	for i := 1; i <= 3; i++ {
-		f.entry(i)
+		f.startEntry(i)
 	}
 	for i := 1; i <= 3; i++ {
 		Eventually(func() int { return completion(addr(100+i), "ready?", 1).status }, "40s", "200ms").Should(Equal(200))
@@ -105,7 +106,9 @@
 	return f
 }
 
-func (f *fleet) held() int64 {
+// kvTokensHeld returns the KV memory in use at the engines in tokens, or -1 if one does not
+// answer.
+func (f *fleet) kvTokensHeld() int64 {
 	sum := int64(0)
 	for i := 1; i <= 2; i++ {
 		r, err := engine.NewClient(time.Second).Load(context.Background(), addr(10+i))
@@ -117,14 +120,14 @@
 	return sum
 }
 
-var _ = Describe("a site of processes", Ordered, func() {
+var _ = Describe("a site whose instances are processes", Ordered, func() {
 	var f *fleet
 	BeforeAll(func() { f = newFleet() })
 	AfterAll(func() { f.stop() })
 
-	// Instances that were started by hand never met: each served alone, because
-	// nothing put them into the instance list. Nobody lists these either.
-	It("finds its instances by itself", func() {
+	// Guards against instances that never find each other because nothing but the instances
+	// themselves registers them in the instance list.
+	It("discovers its instances", func() {
 		for i := 1; i <= 3; i++ {
 			body := call("GET", "http://"+addr(100+i)+"/v1/entries", "").body
 			for k := 1; k <= 3; k++ {
@@ -133,10 +136,10 @@
 		}
 	})
 
-	// An appeal review is lost, or runs twice: its instance is killed in the
-	// middle. The engine keeps the stream, the ledger says where it runs, and a
-	// repeat of the key at another instance picks the answer up.
-	It("delivers an appeal review whole and once although its instance is killed", func() {
+	// Guards against an answer that is lost or generated twice when its instance is killed.
+	// The engine keeps the stream and the ledger records where it runs, so a retry with the
+	// same key at another instance gets the answer.
+	It("delivers the answer of a killed instance completely and once", func() {
 		raw, _ := json.Marshal(map[string]any{"model": "tutor-feedback", "prompt": "the appeal", "max_tokens": 200})
 		header := []string{"X-Request-Kind", "appeal-review", "Idempotency-Key", "appeal-1"}
 		go func() {
@@ -154,7 +157,7 @@
 		Expect(text(r)).To(Equal(answer.Whole("the appeal", 200)))
 	})
 
-	It("frees the engines of a killed instance's streams within 30 s", func() {
+	It("cancels the streams of a killed instance at the engines within 30 s", func() {
 		raw, _ := json.Marshal(map[string]any{"model": "tutor-feedback", "prompt": strings.Repeat("x", 40_000), "max_tokens": 2000, "stream": true})
 		req, _ := http.NewRequest("POST", "http://"+addr(102)+"/v1/completions", bytes.NewReader(raw))
 		req.Header.Set("Authorization", "Bearer "+dev.DemoKey)
@@ -165,17 +168,17 @@
 		_, _ = resp.Body.Read(make([]byte, 16))
 		f.signal("entry-2", syscall.SIGKILL)
 		f.wait("entry-2")
-		Eventually(f.held, "5s", "50ms").Should(BeNumerically(">", 0))
-		// Left alone, the stream would run for 30 s.
-		Eventually(f.held, "25s", "200ms").Should(BeZero())
-		f.entry(1)
-		f.entry(2)
+		Eventually(f.kvTokensHeld, "5s", "50ms").Should(BeNumerically(">", 0))
+		// If it were not cancelled, the stream would run for 30 s.
+		Eventually(f.kvTokensHeld, "25s", "200ms").Should(BeZero())
+		f.startEntry(1)
+		f.startEntry(2)
 		for i := 1; i <= 2; i++ {
 			Eventually(func() int { return completion(addr(100+i), "back", 1).status }, "20s", "200ms").Should(Equal(200))
 		}
 	})
 
-	It("serves on while the platform is stopped, starts new instances from peers, and exits 0 on SIGTERM", func() {
+	It("serves while the platform is frozen, and an instance exits with 0 on SIGTERM", func() {
 		f.signal("platform", syscall.SIGSTOP)
 		for i := range 20 {
 			Expect(completion(addr(101+i%3), fmt.Sprint("outage ", i), 2).status).To(Equal(200))
--- a/e2e/site_test.go
+++ b/e2e/site_test.go
@@ -1,4 +1,4 @@
-// Package e2e tests a whole site over real connections on loopback.
+// Package e2e tests whole sites over loopback connections.
 package e2e
 
 import (
@@ -29,7 +29,7 @@
 
 func TestE2E(t *testing.T) { testkit.Suite(t, "e2e") }
 
-// basePort is apart from those of "auburnmoor dev".
+// basePort differs from the default of "auburnmoor dev".
 const basePort = 17_001
 
 func startSite(change func(*dev.Options)) *dev.Site {
@@ -119,9 +119,9 @@
 		}
 	})
 
-	// A newcomer pastes the printed lines and the second charge is refused: both
-	// examples used one key, which belongs to the customer, not to the service.
-	It("prints examples that do not use each other's keys", func() {
+	// Guards against printed examples of which the second is refused: idempotency keys belong
+	// to the customer, not to the service, so examples must not share one.
+	It("prints examples with distinct idempotency keys", func() {
 		seen := map[string]bool{}
 		for _, line := range site.Examples() {
 			_, rest, ok := strings.Cut(line, "Idempotency-Key: ")
@@ -135,7 +135,7 @@
 		Expect(seen).NotTo(BeEmpty())
 	})
 
-	It("speaks to an OpenAI client, streamed", func() {
+	It("streams to an OpenAI client", func() {
 		c := openai.NewClient(option.WithBaseURL("http://"+site.CallerAddr(1)+"/v1"), option.WithAPIKey(dev.DemoKey), option.WithMaxRetries(0))
 		s := c.Chat.Completions.NewStreaming(context.Background(), openai.ChatCompletionNewParams{
 			Model: "tutor-feedback", Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("hello")},
@@ -158,7 +158,7 @@
 		r := completion(site.CallerAddr(2), prompt, 4, "X-Request-Kind", "portfolio-review")
 		Expect(r.status).To(Equal(http.StatusOK), r.body)
 		Expect(text(r)).To(Equal(answer.Whole(prompt, 4)))
-		Eventually(func() int64 { return heldBy(site) }, "20s", "200ms").Should(BeZero(), "KV memory stayed held")
+		Eventually(func() int64 { return kvTokensHeld(site) }, "20s", "200ms").Should(BeZero(), "KV memory was not released")
 	})
 
 	It("refuses a prompt that no set of engines can hold as not run, at once", func() {
@@ -167,7 +167,7 @@
 		Expect(r.body).To(ContainSubstring(`"not_run":true`))
 	})
 
-	It("runs a key once although it is sent to three entries at the same time", func() {
+	It("runs a key once when it is sent to three entries at the same time", func() {
 		before := site.Runs["enrolment"].Runs()
 		replies := make(chan reply, 9)
 		for i := range 9 {
@@ -219,10 +219,10 @@
 		}, 400, "idempotency_key_required"),
 	)
 
-	// A caller sees another's words, a doubled word or half an answer. Engines
-	// answer late, hand a chunk to the wrong stream or drop the connection; the
-	// session resumes at the next chunk, so the answer is whole or fails.
-	DescribeTable("shows a whole answer although engines misbehave",
+	// Guards against answers with words of another caller, duplicated words or missing parts.
+	// Engines answer late, send a chunk to the wrong stream or drop the connection; the
+	// session resumes at the next chunk, so the answer is complete or fails.
+	DescribeTable("returns a complete answer despite faults of the engines",
 		func(f engineserver.Fault) {
 			for _, e := range site.Engines {
 				e.Inject(f)
@@ -239,7 +239,7 @@
 		Entry("late", engineserver.Fault{Kind: engineserver.Late, Times: 5, Factor: 50}),
 	)
 
-	It("frees the engine when the caller goes away", func() {
+	It("frees the engine when the caller disconnects", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		raw, _ := json.Marshal(map[string]any{"model": "tutor-feedback", "prompt": "long", "max_tokens": 2000, "stream": true})
 		req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+site.CallerAddr(0)+"/v1/completions", bytes.NewReader(raw))
@@ -248,10 +248,10 @@
 		Expect(err).NotTo(HaveOccurred())
 		_, _ = resp.Body.Read(make([]byte, 10))
 		cancel()
-		Eventually(func() int64 { return heldBy(site) }, "5s", "50ms").Should(BeZero())
+		Eventually(func() int64 { return kvTokensHeld(site) }, "5s", "50ms").Should(BeZero())
 	})
 
-	It("fails at the deadline and frees the engine, although the engine hangs", func() {
+	It("fails at the deadline and frees the engine when the engine hangs", func() {
 		for _, e := range site.Engines {
 			e.Inject(engineserver.Fault{Kind: engineserver.Hang, On: true})
 		}
@@ -260,11 +260,11 @@
 		for _, e := range site.Engines {
 			e.Inject(engineserver.Fault{Kind: engineserver.Hang})
 		}
-		Eventually(func() int64 { return heldBy(site) }, "5s", "50ms").Should(BeZero())
+		Eventually(func() int64 { return kvTokensHeld(site) }, "5s", "50ms").Should(BeZero())
 		Eventually(func() int { return completion(site.CallerAddr(0), "well again", 2).status }, "20s", "200ms").Should(Equal(200))
 	})
 
-	It("gives a leaving backend server no new work after a few seconds", func() {
+	It("sends no new requests to a leaving backend server after a few seconds", func() {
 		site.Platform.SetInstance(instances.Instance{
 			Name: "engine-1", Role: instances.RoleEngine, Addr: site.Engines[0].Addr(), DataCentre: "dc-a", Region: "dev", Fencing: true, Leaving: true,
 		})
@@ -276,7 +276,7 @@
 		Expect(site.Engines[0].Runs()).To(Equal(before))
 	})
 
-	It("answers model requests while the platform is down, and says so for claims", func() {
+	It("answers model requests and refuses claims while the platform is down", func() {
 		site.Platform.Inject(platformserver.Faults{Down: true})
 		defer site.Platform.Inject(platformserver.Faults{})
 		time.Sleep(time.Second)
@@ -288,9 +288,9 @@
 		Expect(r.body).To(ContainSubstring(`"not_run":true`))
 	})
 
-	// Labels cannot be printed while the platform is down, although the instance
-	// that would print them is well. A key with a home needs no ledger.
-	It("runs keys with a home once while the platform is down, through any entry", func() {
+	// Guards against keyed requests that fail while the platform is down although the instance
+	// that runs them is healthy. A key that names its home instance needs no ledger.
+	It("runs keys with a home instance once while the platform is down, through any entry", func() {
 		site.Platform.Inject(platformserver.Faults{Down: true})
 		defer site.Platform.Inject(platformserver.Faults{})
 		var entries struct {
@@ -309,7 +309,7 @@
 		Expect(site.Runs["dispatch"].Runs() - before).To(Equal(uint64(1)))
 	})
 
-	It("explains a request in its state dump, without prompt or key", func() {
+	It("records a request in its state dump, without prompt or key", func() {
 		secret := "a very particular question"
 		r := completion(site.CallerAddr(1), secret, 2)
 		id := r.header.Get("X-Request-Id")
@@ -320,7 +320,7 @@
 	})
 })
 
-func heldBy(site *dev.Site) int64 {
+func kvTokensHeld(site *dev.Site) int64 {
 	sum := int64(0)
 	for _, e := range site.Engines {
 		tokens, _ := e.Held()
@@ -330,9 +330,9 @@
 }
 
 var _ = Describe("a site of nine entries", func() {
-	// Nobody is served although every engine is ready: instances that owned an
-	// engine for a moment at the start went on saying that it has no model, and
-	// their word replaced that of the true owner.
+	// Guards against a site that serves nobody although every engine is ready: instances that
+	// owned an engine briefly at the start kept reporting that it has no model, and their
+	// reports replaced those of the current owner.
 	It("becomes ready", func() {
 		site := startSite(func(o *dev.Options) { o.Entries, o.Engines = 9, 4 })
 		defer site.Close()
@@ -343,9 +343,9 @@
 })
 
 var _ = Describe("a graceful shutdown", func() {
-	// Tutors see answers cut off whenever an instance is replaced. Leaving is
-	// announced first, callers with an old answer are still served, and the
-	// process ends after its last stream.
+	// Guards against answers that are cut off when an instance is replaced. The instance
+	// announces that it leaves, still serves callers with an old list of entries, and exits
+	// after its last stream.
 	It("cuts off no answer under load", func() {
 		site := startSite(func(o *dev.Options) { o.StepFactor = 0.5 })
 		defer site.Close()
--- a/e2e/watch_test.go
+++ b/e2e/watch_test.go
@@ -14,36 +14,36 @@
 	"github.com/auburnmoor/auburnmoor/lab/standin/storeserver"
 )
 
-// watchedFleet is one data centre of entry instances before a stand-in of the store.
+// watchedFleet is a data centre of entry instances with a stand-in of the store.
 type watchedFleet struct {
 	*fleet
 	store *storeserver.Server
 }
 
 const (
-	watchBase    = 19_600
-	watchEntries = 8
-	// watchersOfOne is how many instances of a fleet in one data centre watch.
-	watchersOfOne = 5
+	watchBasePort = 19_600
+	watchEntries  = 8
+	// watchersPerDataCentre is the number of instances of a data centre that watch the store.
+	watchersPerDataCentre = 5
 )
 
-func watchAddr(offset int) string { return fmt.Sprintf("127.0.0.1:%d", watchBase+offset) }
+func watchAddr(offset int) string { return fmt.Sprintf("127.0.0.1:%d", watchBasePort+offset) }
 
 func newWatchedFleet() *watchedFleet {
-	s := &watchedFleet{fleet: builtFleet(), store: storeserver.New(watchAddr(1))}
+	s := &watchedFleet{fleet: buildFleet(), store: storeserver.New(watchAddr(1))}
 	Expect(s.store.Start()).To(Succeed())
 	s.configure(3)
-	s.server("a", "ready")
+	s.putServer("a", "ready")
 	for i := range watchEntries {
-		s.entry(i)
+		s.startEntry(i)
 	}
 	return s
 }
 
-func entryOf(i int) string { return fmt.Sprint("entry-", i) }
+func entryName(i int) string { return fmt.Sprint("entry-", i) }
 
-func (s *watchedFleet) entry(i int) {
-	path := filepath.Join(s.dir, entryOf(i)+".toml")
+func (s *watchedFleet) startEntry(i int) {
+	path := filepath.Join(s.dir, entryName(i)+".toml")
 	Expect(os.WriteFile(path, []byte(fmt.Sprintf(`[instance]
 name = %q
 data_centre = "d"
@@ -65,21 +65,21 @@
 gossip = "400ms"
 fail_base = "700ms"
 fail_most = "2200ms"
-`, entryOf(i), watchAddr(10+i), watchAddr(30+i), watchAddr(50+i), watchAddr(1), watchAddr(30), watchAddr(70+i), watchAddr(90+i))), 0o600)).To(Succeed())
-	s.start(entryOf(i), "serve", "--config", path)
+`, entryName(i), watchAddr(10+i), watchAddr(30+i), watchAddr(50+i), watchAddr(1), watchAddr(30), watchAddr(70+i), watchAddr(90+i))), 0o600)).To(Succeed())
+	s.start(entryName(i), "serve", "--config", path)
 }
 
 func (s *watchedFleet) configure(version int) {
 	Expect(s.store.Put("config", "main", map[string]any{"version": version})).To(Succeed())
 }
 
-func (s *watchedFleet) server(id, state string) {
+func (s *watchedFleet) putServer(id, state string) {
 	Expect(s.store.PutEntry(storeserver.Entry{ID: id, Service: "s", Addr: "127.0.0.1:9", DataCentre: "z", Slots: 2, Leaving: state == "draining"})).To(Succeed())
 }
 
-// believes is what an instance holds of the store's content, or nothing if it does not
-// answer.
-func (s *watchedFleet) believes(i int) (d follow.Dump) {
+// catalogDump returns an instance's copy of the store content, or the zero value if the
+// instance does not answer.
+func (s *watchedFleet) catalogDump(i int) (d follow.Dump) {
 	var all struct {
 		Catalog follow.Dump `json:"control.catalog"`
 	}
@@ -90,138 +90,141 @@
 	return all.Catalog
 }
 
-func (s *watchedFleet) versions(of []int) func() []uint64 {
+func (s *watchedFleet) versions(instances []int) func() []uint64 {
 	return func() (out []uint64) {
-		for _, i := range of {
-			out = append(out, s.believes(i).ConfigVersion)
+		for _, i := range instances {
+			out = append(out, s.catalogDump(i).ConfigVersion)
 		}
 		return out
 	}
 }
 
-// split waits until the usual number of instances watch and returns them and the others.
-func (s *watchedFleet) split() (watching, others []int) {
+// awaitWatchers waits until watchersPerDataCentre instances watch the store and returns
+// them and the others.
+func (s *watchedFleet) awaitWatchers() (watching, others []int) {
 	Eventually(func() int {
 		watching, others = nil, nil
 		for i := range watchEntries {
-			if s.believes(i).Watching {
+			if s.catalogDump(i).Watching {
 				watching = append(watching, i)
 			} else {
 				others = append(others, i)
 			}
 		}
 		return len(watching)
-	}, "20s", "100ms").Should(Equal(watchersOfOne))
+	}, "20s", "100ms").Should(Equal(watchersPerDataCentre))
 	return watching, others
 }
 
-func same(n int, v uint64) (out []uint64) {
+// repeat returns a slice with n copies of v.
+func repeat(n int, v uint64) (out []uint64) {
 	for range n {
 		out = append(out, v)
 	}
 	return out
 }
 
-var _ = Describe("a fleet of which few instances watch the store", func() {
-	// A key that was taken away goes on working at three instances of eight: those that
-	// watch the store all stand still, and nobody else asks it. The members notice the
-	// silence, and the next ones watch.
-	DescribeTable("has a change in force while all that watch are lost", func(signal syscall.Signal, wakes bool) {
+var _ = Describe("a fleet in which only some instances watch the store", func() {
+	// Guards against a revoked key that still works at three of eight instances because all
+	// that watch the store are frozen and no other instance polls it. The other members detect
+	// the silence and take over watching.
+	DescribeTable("applies a change although all watching instances are lost", func(signal syscall.Signal, resumes bool) {
 		s := newWatchedFleet()
 		DeferCleanup(func() {
 			s.stop()
 			s.store.Close()
 		})
-		watching, others := s.split()
-		Eventually(s.versions(others), "10s", "20ms").Should(Equal(same(len(others), 3)))
+		watching, others := s.awaitWatchers()
+		Eventually(s.versions(others), "10s", "20ms").Should(Equal(repeat(len(others), 3)))
 		for _, i := range watching {
-			s.signal(entryOf(i), signal)
+			s.signal(entryName(i), signal)
 		}
 		s.configure(8)
-		s.server("a", "draining")
-		// 2.2 s until the members notice, and what a call and passing it on take.
-		Eventually(s.versions(others), "4s", "20ms").Should(Equal(same(len(others), 8)))
-		if !wakes {
+		s.putServer("a", "draining")
+		// Failure detection takes up to 2.2 s; the rest is for a store call and passing on its
+		// answer.
+		Eventually(s.versions(others), "4s", "20ms").Should(Equal(repeat(len(others), 8)))
+		if !resumes {
 			return
 		}
 		for _, i := range watching {
-			s.signal(entryOf(i), syscall.SIGCONT)
+			s.signal(entryName(i), syscall.SIGCONT)
 		}
-		Eventually(s.versions(watching), "4s", "20ms").Should(Equal(same(len(watching), 8)))
-		s.split()
+		Eventually(s.versions(watching), "4s", "20ms").Should(Equal(repeat(len(watching), 8)))
+		s.awaitWatchers()
 	},
 		Entry("killed", syscall.SIGKILL, false),
 		Entry("frozen", syscall.SIGSTOP, true),
 	)
 
-	// The instances that watch the store freeze; it comes back from an older copy, and the
-	// next ones follow its new era. Those that wake hold higher revisions of the old era and
-	// told the others that they were newer.
-	It("follows the store's new era on both sides of a freeze", func() {
+	// Guards against instances that resume after a freeze and spread an old era of the store.
+	// While they are frozen, the store is restored from an older copy and the next watchers
+	// follow its new era; the resumed instances hold higher revisions of the old era.
+	It("follows the store's new era at the frozen and the other instances", func() {
 		s := newWatchedFleet()
 		DeferCleanup(func() {
 			s.stop()
 			s.store.Close()
 		})
-		watching, others := s.split()
+		watching, others := s.awaitWatchers()
 		s.store.Copy()
 		for v := 4; v < 10; v++ {
 			s.configure(v)
 		}
-		s.server("b", "ready")
-		Eventually(s.versions(watching), "5s", "20ms").Should(Equal(same(len(watching), 9)))
-		Eventually(s.versions(others), "5s", "20ms").Should(Equal(same(len(others), 9)))
+		s.putServer("b", "ready")
+		Eventually(s.versions(watching), "5s", "20ms").Should(Equal(repeat(len(watching), 9)))
+		Eventually(s.versions(others), "5s", "20ms").Should(Equal(repeat(len(others), 9)))
 		for _, i := range watching {
-			s.signal(entryOf(i), syscall.SIGSTOP)
+			s.signal(entryName(i), syscall.SIGSTOP)
 		}
 		s.store.Restore()
-		s.server("c", "ready")
-		eras := func(of []int) func() []uint64 {
+		s.putServer("c", "ready")
+		eras := func(instances []int) func() []uint64 {
 			return func() (out []uint64) {
-				for _, i := range of {
-					out = append(out, s.believes(i).Era)
+				for _, i := range instances {
+					out = append(out, s.catalogDump(i).Era)
 				}
 				return out
 			}
 		}
-		Eventually(eras(others), "5s", "20ms").Should(Equal(same(len(others), 2)))
+		Eventually(eras(others), "5s", "20ms").Should(Equal(repeat(len(others), 2)))
 		for _, i := range watching {
-			s.signal(entryOf(i), syscall.SIGCONT)
+			s.signal(entryName(i), syscall.SIGCONT)
 		}
-		Eventually(eras(watching), "4s", "20ms").Should(Equal(same(len(watching), 2)))
-		s.server("a", "draining")
+		Eventually(eras(watching), "4s", "20ms").Should(Equal(repeat(len(watching), 2)))
+		s.putServer("a", "draining")
 		s.configure(11)
-		everyone := append(watching, others...)
-		Eventually(s.versions(everyone), "4s", "20ms").Should(Equal(same(len(everyone), 11)))
+		instances := append(watching, others...)
+		Eventually(s.versions(instances), "4s", "20ms").Should(Equal(repeat(len(instances), 11)))
 		Eventually(func() (listed []int) {
-			for _, i := range everyone {
-				listed = append(listed, s.believes(i).Servers)
+			for _, i := range instances {
+				listed = append(listed, s.catalogDump(i).Servers)
 			}
 			return listed
-		}, "6s", "20ms").Should(HaveEach(2), "a, which leaves, and c")
+		}, "6s", "20ms").Should(HaveEach(2), "a, which is draining, and c")
 	})
 
-	// Callers of a new instance are refused until the store is back: it was killed and
-	// started while the store was away, and asked nobody else.
-	It("has a restarted instance serve while the store is down", func() {
+	// Guards against a restarted instance that refuses its callers until the store is back,
+	// because it does not ask its peers for the configuration.
+	It("lets a restarted instance serve while the store is down", func() {
 		s := newWatchedFleet()
 		DeferCleanup(func() {
 			s.stop()
 			s.store.Close()
 		})
-		_, others := s.split()
+		_, others := s.awaitWatchers()
 		s.store.SetFaults(storeserver.Faults{Down: true})
-		s.signal(entryOf(others[0]), syscall.SIGKILL)
-		s.wait(entryOf(others[0]))
-		s.entry(others[0])
-		Eventually(s.versions(others[:1]), "10s", "20ms").Should(Equal(same(1, 3)))
-		Expect(s.believes(others[0]).Servers).To(Equal(1))
+		s.signal(entryName(others[0]), syscall.SIGKILL)
+		s.wait(entryName(others[0]))
+		s.startEntry(others[0])
+		Eventually(s.versions(others[:1]), "10s", "20ms").Should(Equal(repeat(1, 3)))
+		Expect(s.catalogDump(others[0]).Servers).To(Equal(1))
 	})
 })
 
-var _ = Describe("an instance that cannot know whether its configuration is in force", Ordered, func() {
-	var s *estate
-	BeforeAll(func() { s = newEstate() })
+var _ = Describe("an instance whose configuration may be out of date", Ordered, func() {
+	var s *platformSite
+	BeforeAll(func() { s = newPlatformSite() })
 	AfterAll(func() { s.close() })
 
 	ask := func(path, key string) int {
@@ -229,14 +232,14 @@
 		return resp.StatusCode
 	}
 
-	It("says for good that there is no such route or key while it is confirmed", func() {
+	It("rejects unknown routes and keys permanently while its configuration is confirmed", func() {
 		Eventually(func() int { return ask("/new/1", "k1") }, "10s", "100ms").Should(Equal(404))
 		Expect(ask("/look/1", "k2")).To(Equal(401))
 	})
 
-	// Guards against callers that give up because an instance which the store does not
-	// answer says for good that a route or key does not exist.
-	It("refuses for now what it does not know, and serves what it does", func() {
+	// Guards against clients that give up because an instance without contact to the store
+	// rejects a route or key permanently.
+	It("rejects unknown routes and keys temporarily while the store is down, and serves known ones", func() {
 		s.store.SetFaults(storeserver.Faults{Down: true})
 		Eventually(func() int { return ask("/new/1", "k1") }, "10s", "100ms").Should(Equal(503))
 		Expect(ask("/look/1", "k2")).To(Equal(503))
@@ -245,7 +248,7 @@
 		Expect(ask("/look/1", "k1")).To(Equal(200))
 	})
 
-	It("says so again once the store is back", func() {
+	It("rejects permanently again once the store is back", func() {
 		s.store.SetFaults(storeserver.Faults{})
 		Eventually(func() int { return ask("/new/1", "k1") }, "5s", "100ms").Should(Equal(404))
 	})
