--- a/cli/explain.go
+++ b/cli/explain.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		return err
 	}
-	t := explain.Collect(c.ID, all)
+	t := explain.BuildTimeline(c.ID, all)
 	if err := t.Write(e.out); err != nil {
 		return err
 	}
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -87,10 +87,10 @@
 	Surrounding []Line
 }
 
-// Collect builds the timeline of a request from lines in any order. Lines name the
+// BuildTimeline builds the timeline of a request from lines in any order. Lines name the
 // request in the field "request", those of its reservations in "ticket", which starts
 // with its id.
-func Collect(id string, lines []Line) Timeline {
+func BuildTimeline(id string, lines []Line) Timeline {
 	var t Timeline
 	instances := map[string]bool{}
 	for _, l := range lines {
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -29,7 +29,7 @@
 		lines, err := explain.Read(strings.NewReader(log))
 		Expect(err).NotTo(HaveOccurred())
 		var out bytes.Buffer
-		Expect(explain.Collect("r1", lines).Write(&out)).To(Succeed())
+		Expect(explain.BuildTimeline("r1", lines).Write(&out)).To(Succeed())
 		Expect(out.String()).To(Equal(`request, from 2026-01-01T00:00:01Z
       0.0  entry-1  placed  server=s1
     100.0  entry-1  reservation not granted  ticket=r1-0-2
@@ -41,7 +41,7 @@
 
 	It("reports that no line names the request", func() {
 		var out bytes.Buffer
-		Expect(explain.Collect("r9", nil).Write(&out)).To(Succeed())
+		Expect(explain.BuildTimeline("r9", nil).Write(&out)).To(Succeed())
 		Expect(out.String()).To(ContainSubstring("no line"))
 	})
 })
--- a/losses/losses.go
+++ b/losses/losses.go
@@ -30,7 +30,7 @@
 	NoServer           Cause = "refused: no server ran it"
 	NoConfig           Cause = "refused: no configuration yet"
 	ShuttingDown       Cause = "refused: shutting down"
-	DeadlinePassed     Cause = "its time passed"
+	TimedOut           Cause = "its time passed"
 	ServerError        Cause = "the server's own failure"
 	StreamBroken       Cause = "stream broken off"
 	ClientLeftHeld     Cause = "client left while it waited at the instance"
@@ -233,7 +233,7 @@
 // causeByCode maps the result codes of refused requests to causes.
 var causeByCode = map[result.Code]Cause{
 	result.Overloaded: NoCapacity, result.TooLongForFleet: NoCapacity, result.NoBackend: NoServer, result.NoConfiguration: NoConfig,
-	result.Draining: ShuttingDown, result.DeadlineNotRun: DeadlinePassed, result.DeadlinePassed: DeadlinePassed, result.BackendFailed: ServerError,
+	result.Draining: ShuttingDown, result.DeadlineNotRun: TimedOut, result.DeadlinePassed: TimedOut, result.BackendFailed: ServerError,
 }
 
 func (r *request) refusalCause() (Cause, bool) {
--- a/losses/losses_test.go
+++ b/losses/losses_test.go
@@ -48,7 +48,7 @@
 		Entry(nil, losses.Retried, placed, `2.000Z","msg":"attempt failed","instance":"a","request":"r","outcome":"silent"`, answered+`,"first":90,"longest_gap":1300`),
 		Entry(nil, losses.NoCapacity, `1.000Z","msg":"refused","instance":"a","request":"r","code":2001,"prompt":500000`),
 		Entry(nil, losses.NoServer, placed, `2.000Z","msg":"refused","instance":"a","request":"r","code":2005,"prompt":5000`),
-		Entry(nil, losses.DeadlinePassed, placed, `2.000Z","msg":"refused","instance":"a","request":"r","code":3001,"prompt":0`),
+		Entry(nil, losses.TimedOut, placed, `2.000Z","msg":"refused","instance":"a","request":"r","code":3001,"prompt":0`),
 		Entry(nil, losses.Unexplained, placed, `2.000Z","msg":"refused","instance":"a","request":"r","code":3999,"prompt":0`),
 		Entry(nil, losses.ClientLeftHeld, `1.000Z","msg":"held back","instance":"a","request":"r","prompt":200000`, `2.000Z","msg":"client gone","instance":"a","request":"r"`),
 		Entry(nil, losses.ClientLeftPlaced, placed, `2.000Z","msg":"client gone","instance":"a","request":"r"`),
