--- a/serve/relay/exchange.go
+++ b/serve/relay/exchange.go
@@ -80,7 +80,7 @@
 	avoid []string
 	// recorded are the servers whose failure in the current attempt is counted.
 	recorded []string
-	// gapWindow evaluates the pauses between events of the current attempt.
+	// gapWindow collects the pauses between events of the current attempt.
 	gapWindow health.GapWindow
 	// retryAfter is the longest Retry-After of servers that did not run the request.
 	retryAfter time.Duration
@@ -174,7 +174,7 @@
 	x.relay.log.Warn("attempt failed", zap.String("request", x.req.ID), zap.String("server", plan.Writer().ID), zap.Int("helpers", len(plan.Helpers())),
 		zap.Stringer("identity", x.identity()), zap.Bool("crashed", x.crashed),
 		zap.Stringer("outcome", o), zap.Stringer("next", action), zap.Int("sent", x.state.Sent()), zap.Duration("left", x.remaining()),
-		zap.Duration("servers_age", x.relay.catalog.Age()), eventlog.Error(err))
+		zap.Duration("servers_age", x.relay.catalog.ConfirmationAge()), eventlog.Error(err))
 	switch action {
 	case attempt.Retry:
 		x.splitter.discardPartial()
@@ -250,7 +250,7 @@
 	req := spread.Request{
 		Instance: r.name, DataCentre: r.dataCentre, FleetSize: total, Avoid: x.avoid, NoHelpers: x.state.Sent() > 0 || x.suspect,
 		Prompt: x.req.PromptTokens, Answer: x.answerTokens(),
-		FirstTarget: x.route.FirstTarget, GapTarget: x.route.GapTarget, TightestGap: x.service.TightestPause,
+		FirstTarget: x.route.FirstEventTarget, GapTarget: x.route.GapTarget, TightestGap: x.service.MinGapTarget,
 		Waited: x.heldFor, MaxHold: maxHold, TimeLeft: x.remaining(),
 	}
 	if x.service.Engine == nil {
@@ -260,7 +260,7 @@
 	}
 	r.observeBacklog(x.service.Name, servers)
 	req.Draw = rand.Float64()
-	if r.loads.Blind() {
+	if r.loads.WarmingUp() {
 		req.Rotation = 1 + rand.IntN(maxRandomOffset)
 	}
 	return r.loads.Place(func(load func(string) spread.Load, held *spread.Queue) (spread.Plan, spread.Verdict) {
@@ -273,10 +273,10 @@
 // answerTokens estimates the length of the answer. Answers seldom reach the client's
 // limit; the service's usual length is closer.
 func (x *exchange) answerTokens() int64 {
-	if x.service.Engine == nil || x.service.Engine.UsualAnswer == 0 {
+	if x.service.Engine == nil || x.service.Engine.MeanAnswerTokens == 0 {
 		return x.req.AnswerTokens
 	}
-	return min(x.req.AnswerTokens, x.service.Engine.UsualAnswer)
+	return min(x.req.AnswerTokens, x.service.Engine.MeanAnswerTokens)
 }
 
 // attempt sends the request to the servers of a plan.
@@ -320,7 +320,7 @@
 	w := plan.Writer()
 	c := backend.Call{
 		Server: w.ID, Life: w.Life, Addr: w.Addr, Method: x.req.Method, Target: x.req.Target, Host: x.req.Host, Header: x.req.Header, Body: x.req.Body,
-		RequestID: x.req.ID, Customer: x.customer, Left: x.remaining(), Rank: x.rank, ResumeAfter: x.req.ResumeAfter,
+		RequestID: x.req.ID, Customer: x.customer, RemainingTime: x.remaining(), Rank: x.rank, ResumeAfter: x.req.ResumeAfter,
 	}
 	if x.splitter.lastID != "" {
 		c.ResumeAfter = x.splitter.lastID
@@ -360,7 +360,7 @@
 	}
 	id := part.Server.ID
 	if x.hadRoom(part) {
-		x.relay.loads.TurnedAway(part.Server, x.relay.catalog.ConfigState() != knowledge.Confirmed)
+		x.relay.loads.RecordRejection(part.Server, x.relay.catalog.ConfigState() != knowledge.Confirmed)
 	} else if id != plan.Writer().ID {
 		x.relay.suspend(x.service.Name, id)
 	}
@@ -375,7 +375,7 @@
 // store lists it as leaving, each request placed there loses an attempt, and one that
 // meets two such servers is refused.
 func (x *exchange) hadRoom(p spread.Part) bool {
-	l := x.relay.loads.Of(p.Server.ID)
+	l := x.relay.loads.Total(p.Server.ID)
 	if p.Load.Calls > 0 {
 		return l.HasSlots(p.Server.Slots)
 	}
--- a/serve/relay/relay.go
+++ b/serve/relay/relay.go
@@ -82,7 +82,7 @@
 	retries *retry.Window
 	// lives maps the listed servers to their life, which changes with a restart.
 	lives map[string]backends.Life
-	// slowDetector is the usual pause between events of a stream.
+	// slowDetector learns the usual pause between events of a stream.
 	slowDetector health.SlowDetector
 	// meter averages the prefill backlog of the servers over the last seconds.
 	meter spread.Meter
@@ -127,7 +127,7 @@
 	}
 	r.log, r.now, r.scope, r.client, r.dataCentre = c.Log, c.Now, c.Scope, src.Backends(), c.Self.DataCentre
 	r.name = c.Self.Name
-	r.crashes = &crashDetector{refusesConn: r.client.Refuses, count: r.scope.Counter("server_crashes_total")}
+	r.crashes = &crashDetector{refusesConn: r.client.RefusesConnections, count: r.scope.Counter("server_crashes_total")}
 	r.rand, r.pools = rand.New(rand.NewPCG(c.Seed, 3)), map[string]*pool{}
 	return nil
 }
@@ -237,7 +237,7 @@
 	r.count("refusals_total", "code", refusal.Code.String())
 	r.log.Warn("refused", append(extra, zap.String("request", req.ID), zap.Uint32("code", uint32(refusal.Code)), zap.String("why", refusal.Message),
 		zap.Int64("prompt", req.PromptTokens), zap.String("host", req.Host), zap.String("path", req.Path), zap.Uint64("version", r.version()),
-		zap.Duration("config_age", r.catalog.Age()))...)
+		zap.Duration("config_age", r.catalog.ConfirmationAge()))...)
 }
 
 func (r *Relay) version() uint64 {
@@ -287,7 +287,7 @@
 	if len(out) == 0 {
 		out = ready
 	}
-	return r.loads.Present(out), len(share)
+	return r.loads.Available(out), len(share)
 }
 
 // inRotation returns the servers neither ejected nor suspended; r.mu must be held.
