--- a/cli/suspects.go
+++ b/cli/suspects.go
@@ -60,16 +60,16 @@
 			sum.Add(suspects.Play(suspects.Options{
 				Instances: n, Servers: max(minServers, int(serversPerInstance*float64(n))), Seed: uint64(seed + 1), Duration: c.Duration, Rate: c.Rate,
 				Poisons: c.Poisons, PoisonEvery: c.PoisonEvery, CrashEvery: c.CrashEvery, CrashShare: c.CrashShare,
-				Loss: c.Loss, RestartEvery: c.Restarts, Together: c.Together,
+				Loss: c.Loss, RestartEvery: c.Restarts, NoIsolation: c.Together,
 			}))
 		}
 		crashesPerPoison := float64(sum.Crashes) / float64(max(1, c.Seeds*c.Poisons))
 		instanceSeconds := float64(c.Seeds*n) * c.Duration.Seconds()
 		maxDelay := time.Duration(0)
-		if len(sum.Known) > 0 {
-			maxDelay = slices.Max(sum.Known)
+		if len(sum.PropagationTimes) > 0 {
+			maxDelay = slices.Max(sum.PropagationTimes)
 		}
-		if _, err := fmt.Fprintf(t, "%d\t%.2f\t%d\t%v\t%d\t%d\t%d\t%d\t%.2f\t%.0f\n", n, crashesPerPoison, sum.Late, maxDelay, sum.Ordinary, sum.Refused, sum.Suspects, sum.Broken,
+		if _, err := fmt.Fprintf(t, "%d\t%.2f\t%d\t%v\t%d\t%d\t%d\t%d\t%.2f\t%.0f\n", n, crashesPerPoison, sum.Late, maxDelay, sum.Ordinary, sum.Refused, sum.Suspects, sum.CollateralFailures,
 			float64(sum.Messages)/instanceSeconds, float64(sum.Bytes)/instanceSeconds); err != nil {
 			return err
 		}
