--- a/e2e/platform_test.go
+++ b/e2e/platform_test.go
@@ -423,7 +423,9 @@
 		_, err = bufio.NewReader(resp.Body).ReadString('\n')
 		Expect(err).NotTo(HaveOccurred())
 		Expect(resp.Body.Close()).To(Succeed())
-		Eventually(func() int { return s.engines[0].Left() + s.engines[1].Left() + s.engines[2].Left() }, "3s", "20ms").Should(BeNumerically(">=", 1))
+		Eventually(func() int {
+			return s.engines[0].Disconnects() + s.engines[1].Disconnects() + s.engines[2].Disconnects()
+		}, "3s", "20ms").Should(BeNumerically(">=", 1))
 	})
 
 	// Guards against requests that are sent to a draining server and cut off when it exits.
@@ -475,7 +477,7 @@
 	// some servers drain, and each instance learns of each of them only through refused requests
 	// of its own callers.
 	It("avoids a server at all instances after it refused a request of one of them", func() {
-		leaving := s.startServer("a0", "registry", workerserver.Config{Always: workerserver.Shed})
+		leaving := s.startServer("a0", "registry", workerserver.Config{DefaultFault: workerserver.Shed})
 		defer leaving.Close()
 		defer s.store.Delete("servers", "a0")
 		sendTo := func(entry, n int) {
