--- a/decide/spread/hold.go
+++ b/decide/spread/hold.go
@@ -20,7 +20,7 @@
 )
 
 // holdReason returns the mean unconfirmed prefill of the engines and why the prompt must
-// wait until it is lower. The limit is higher for smaller prompts, so that they pass
+// wait, or NoReason. The limit is higher for smaller prompts, so that they pass
 // larger ones that wait at other instances.
 func (c *chooser) holdReason(servers []backends.Server) (time.Duration, Reason) {
 	if !c.deep() || c.req.Waited >= c.req.MaxHold || c.exceedsEngine() && c.late() {
@@ -78,7 +78,7 @@
 		return false
 	}
 	soloPass := PassTime(c.engine, Load{Calls: 1, HeldTokens: c.req.Prompt / (maxHelpers + 1)})
-	passes := minAnswerShare * float64(c.req.Answer) / float64(max(1, c.engine.Stride))
+	passes := minAnswerShare * float64(c.req.Answer) / float64(max(1, c.engine.StepsPerPass))
 	return c.partPrefill(maxHelpers)+time.Duration(passes*float64(soloPass)) > c.req.TimeLeft
 }
 
--- a/decide/spread/plan.go
+++ b/decide/spread/plan.go
@@ -49,8 +49,8 @@
 	Instance string
 	// DataCentre is preferred among servers with equal load.
 	DataCentre string
-	// NoHelpers places a short prompt on a single engine, because helpers rejected the
-	// request before.
+	// NoHelpers places a short prompt on a single engine, as for a retry or for a request
+	// that may have crashed servers.
 	NoHelpers bool
 	// FirstTarget is the target for the time to the first event; zero if there is none.
 	FirstTarget time.Duration
@@ -70,8 +70,9 @@
 	Draw        float64
 	// MustWait reports that another held prompt precedes this one.
 	MustWait bool
-	// Rotation rotates the order of servers. It is set while the loads of other instances
-	// are not known, so that such instances do not all choose the same servers.
+	// Rotation is by how many places the order of servers is rotated. It is set while the
+	// loads of other instances are not known, so that such instances do not all choose the
+	// same servers.
 	Rotation int
 }
 
@@ -114,11 +115,11 @@
 // PrefillTime is the prefill time of a prompt on an idle engine: linear in its tokens, plus
 // the attention between each pair of tokens.
 func PrefillTime(e *route.Engine, tokens int64) time.Duration {
-	if e.ReadPerSecond <= 0 {
+	if e.PrefillTokensPerSecond <= 0 {
 		return 0
 	}
-	linear := float64(tokens) / e.ReadPerSecond * float64(time.Second)
-	pairs := float64(tokens) * float64(tokens) / 2 / 1e6 * float64(e.PairsPerMillion)
+	linear := float64(tokens) / e.PrefillTokensPerSecond * float64(time.Second)
+	pairs := float64(tokens) * float64(tokens) / 2 / 1e6 * float64(e.TimePerMillionPairs)
 	return time.Duration(linear + pairs)
 }
 
@@ -233,7 +234,7 @@
 
 // predictPrefillEnd predicts when an engine has prefilled a part: the pass in progress
 // ends, then all pending prefill runs in the next one together with the part. An engine
-// that decodes makes a stride of token steps in each pass.
+// that decodes runs StepsPerPass token steps in each pass.
 func (c *chooser) predictPrefillEnd(s backends.Server, each time.Duration) time.Duration {
 	l := c.load(s.ID)
 	d := l.Prefill + each
@@ -249,8 +250,8 @@
 	if e == nil {
 		return 0
 	}
-	context := time.Duration(l.HeldTokens) * e.StepPerThousand / 1000
-	return time.Duration(e.Stride) * (e.Step + time.Duration(l.Calls)*e.StepPerWriter + context)
+	context := time.Duration(l.HeldTokens) * e.StepPerThousandTokens / 1000
+	return time.Duration(e.StepsPerPass) * (e.Step + time.Duration(l.Calls)*e.StepPerSequence + context)
 }
 
 // Deep reports whether a prompt must queue at the instances: its prefill takes long, or no
@@ -260,7 +261,7 @@
 }
 
 // usable is the memory of an engine that may be given out.
-func usable(e *route.Engine) int64 { return int64(memoryShare * float64(e.Memory)) }
+func usable(e *route.Engine) int64 { return int64(memoryShare * float64(e.KVCacheTokens)) }
 
 // lateAfter is the wait after which a prompt cannot have its first event within target,
 // even if as many engines as can share it prefill it.
--- a/lab/bench/workload.go
+++ b/lab/bench/workload.go
@@ -12,23 +12,23 @@
 	"github.com/auburnmoor/auburnmoor/peerpb"
 )
 
-// modelName is the one model that the emulated engines serve.
+// modelName is the only model that the emulated engines serve.
 const modelName = "model@v1"
 
-// Arrival is a request to come.
+// Arrival is a generated request and its arrival time.
 type Arrival struct {
-	At    time.Duration
-	Job   *peerpb.Job
-	Once  bool
-	Kind  string
-	Class Class
-	chain []uint64
+	At            time.Duration
+	Job           *peerpb.Job
+	NonRepeatable bool
+	Kind          string
+	Class         Class
+	chain         []uint64
 }
 
-// Class groups requests by prompt length.
+// Class is a range of prompt lengths.
 type Class string
 
-// The classes and the prompt tokens at which they begin.
+// The classes, named by their range in prompt tokens.
 const (
 	Short  Class = "1k-8k"
 	Medium Class = "8k-32k"
@@ -37,7 +37,7 @@
 	Huge   Class = "480k-1M"
 )
 
-// Classes lists the classes in order.
+// Classes lists the classes by increasing prompt length.
 var Classes = []Class{Short, Medium, Large, Long, Huge}
 
 // classOf returns the class of a prompt length.
@@ -56,21 +56,23 @@
 	}
 }
 
-// IsLong reports whether a class is of the one in fifty over 100k tokens.
+// IsLong reports whether a class is above 100k tokens, as are 2% of the requests
+// of both mixes.
 func (c Class) IsLong() bool { return c == Long || c == Huge }
 
-// Source is one kind of request in a mix.
+// Source describes one kind of request; Fraction is its share of the mix, Min and
+// Max bound the prompt tokens.
 type Source struct {
-	Kind     string
-	Part     float64
-	Min, Max float64
-	Output   int64
-	Limit    time.Duration
-	Target   time.Duration
-	Once     bool
+	Kind          string
+	Fraction      float64
+	Min, Max      float64
+	Output        int64
+	Limit         time.Duration
+	Target        time.Duration
+	NonRepeatable bool
 }
 
-// Mix is the traffic of a site.
+// Mix is the traffic of a site: its sources and the weights of its customers.
 type Mix struct {
 	Sources   []Source
 	Customers []int64
@@ -80,10 +82,10 @@
 // reviews and appeal reviews; one request in fifty exceeds 100k tokens.
 var TePuna = Mix{
 	Sources: []Source{
-		{Kind: "essay-query", Part: 0.70, Min: 1_000, Max: 8_000, Output: 60, Limit: 30 * time.Second, Target: time.Second},
-		{Kind: "draft", Part: 0.20, Min: 4_000, Max: 32_000, Output: 200, Limit: time.Minute, Target: 2 * time.Second},
-		{Kind: "appeal-review", Part: 0.08, Min: 10_000, Max: 100_000, Output: 200, Limit: 10 * time.Minute, Target: 10 * time.Minute, Once: true},
-		{Kind: "portfolio-review", Part: 0.02, Min: 100_001, Max: 1_000_000, Output: 200, Limit: 10 * time.Minute, Target: 10 * time.Minute},
+		{Kind: "essay-query", Fraction: 0.70, Min: 1_000, Max: 8_000, Output: 60, Limit: 30 * time.Second, Target: time.Second},
+		{Kind: "draft", Fraction: 0.20, Min: 4_000, Max: 32_000, Output: 200, Limit: time.Minute, Target: 2 * time.Second},
+		{Kind: "appeal-review", Fraction: 0.08, Min: 10_000, Max: 100_000, Output: 200, Limit: 10 * time.Minute, Target: 10 * time.Minute, NonRepeatable: true},
+		{Kind: "portfolio-review", Fraction: 0.02, Min: 100_001, Max: 1_000_000, Output: 200, Limit: 10 * time.Minute, Target: 10 * time.Minute},
 	},
 	Customers: []int64{8, 6, 4, 2, 1, 1, 1, 1, 1, 1},
 }
@@ -92,39 +94,39 @@
 // digests and whole-project reviews.
 var Thistlegate = Mix{
 	Sources: []Source{
-		{Kind: "triage", Part: 0.65, Min: 1_000, Max: 5_000, Output: 80, Limit: 20 * time.Second, Target: time.Second},
-		{Kind: "crash-digest", Part: 0.28, Min: 4_000, Max: 64_000, Output: 150, Limit: time.Minute, Target: 5 * time.Second},
-		{Kind: "ticket-history", Part: 0.05, Min: 10_000, Max: 100_000, Output: 150, Limit: 5 * time.Minute, Target: 5 * time.Minute},
-		{Kind: "milestone-review", Part: 0.02, Min: 100_001, Max: 1_000_000, Output: 300, Limit: 10 * time.Minute, Target: 10 * time.Minute},
+		{Kind: "triage", Fraction: 0.65, Min: 1_000, Max: 5_000, Output: 80, Limit: 20 * time.Second, Target: time.Second},
+		{Kind: "crash-digest", Fraction: 0.28, Min: 4_000, Max: 64_000, Output: 150, Limit: time.Minute, Target: 5 * time.Second},
+		{Kind: "ticket-history", Fraction: 0.05, Min: 10_000, Max: 100_000, Output: 150, Limit: 5 * time.Minute, Target: 5 * time.Minute},
+		{Kind: "milestone-review", Fraction: 0.02, Min: 100_001, Max: 1_000_000, Output: 300, Limit: 10 * time.Minute, Target: 10 * time.Minute},
 	},
 	Customers: []int64{8, 8, 4, 2, 1, 1, 1, 1, 1, 1},
 }
 
-// decodeBatch is the number of streams assumed to share a step when capacity
-// is computed.
+// decodeBatch is the assumed number of streams per decode step in the capacity
+// estimate.
 const decodeBatch = 8
 
-// ServiceTime is the engine time that a request of this shape takes.
+// ServiceTime estimates the engine time of a request.
 func ServiceTime(a enginecore.Assumptions, prompt float64, output int64) time.Duration {
 	perToken := float64(a.PerPrefillToken) + float64(a.StepBase)/float64(a.ChunkTokens)
 	perOutput := float64(a.PerDecode) + float64(a.StepBase)/decodeBatch
 	return time.Duration(prompt*perToken + float64(output)*perOutput)
 }
 
-// Capacity is the rate of requests a second at which the engines are just
-// busy, ignoring cached prefixes.
+// Capacity is the rate in requests per second that fully utilizes the engines,
+// ignoring cached prefixes.
 func (m Mix) Capacity(a enginecore.Assumptions, engines int) float64 {
 	mean := 0.0
 	for _, s := range m.Sources {
-		mean += s.Part * ServiceTime(a, logUniformMean(s.Min, s.Max), s.Output).Seconds()
+		mean += s.Fraction * ServiceTime(a, logUniformMean(s.Min, s.Max), s.Output).Seconds()
 	}
 	return float64(engines) / mean
 }
 
 func logUniformMean(lo, hi float64) float64 { return (hi - lo) / math.Log(hi/lo) }
 
-// Generate draws the arrivals of duration at rate requests a second. Each
-// source has its own random sequence, so leaving one out does not change the
+// Generate draws Poisson arrivals over d at rate requests per second. Each
+// source has its own random sequence, so excluding one does not change the
 // others.
 func (m Mix) Generate(seed uint64, rate float64, d time.Duration, keep func(Source) bool) []Arrival {
 	var out []Arrival
@@ -135,7 +137,7 @@
 		r := rand.New(rand.NewPCG(seed, uint64(i)))
 		at := 0.0
 		for n := 0; ; n++ {
-			at += r.ExpFloat64() / (rate * s.Part)
+			at += r.ExpFloat64() / (rate * s.Fraction)
 			if at > d.Seconds() {
 				break
 			}
@@ -145,18 +147,18 @@
 	return out
 }
 
-// sharedPrefix is the part of requests that begin with one of their customer's
-// common documents.
+// sharedPrefixShare is the share of requests that begin with one of their
+// customer's shared documents.
 const (
-	sharedPrefix   = 0.5
-	docsPerOwner   = 4
-	maxSharedBlock = 6
+	sharedPrefixShare = 0.5
+	docsPerCustomer   = 4
+	maxSharedBlocks   = 6
 )
 
 func (m Mix) draw(r *rand.Rand, s Source, source, n int, at time.Duration) Arrival {
 	prompt := int64(math.Exp(math.Log(s.Min) + r.Float64()*(math.Log(s.Max)-math.Log(s.Min))))
-	c := m.customer(r)
-	a := Arrival{At: at, Once: s.Once, Kind: s.Kind, Class: classOf(prompt)}
+	c := m.drawCustomer(r)
+	a := Arrival{At: at, NonRepeatable: s.NonRepeatable, Kind: s.Kind, Class: classOf(prompt)}
 	a.chain = drawChain(r, c, prompt, uint64(source)<<32|uint64(n))
 	a.Job = &peerpb.Job{
 		Id: fmt.Sprintf("r~%d~%d", source, n), Customer: fmt.Sprintf("customer-%d", c), Model: modelName,
@@ -166,7 +168,7 @@
 	return a
 }
 
-func (m Mix) customer(r *rand.Rand) int {
+func (m Mix) drawCustomer(r *rand.Rand) int {
 	total := int64(0)
 	for _, w := range m.Customers {
 		total += w
@@ -180,13 +182,13 @@
 	return 0
 }
 
-// drawChain makes up the block hashes of a prompt.
+// drawChain generates the block hashes of a prompt.
 func drawChain(r *rand.Rand, customer int, prompt int64, id uint64) []uint64 {
 	chain := make([]uint64, prompt/prefix.TokensPerBlock)
 	shared := 0
-	doc := uint64(customer)<<8 | uint64(r.IntN(docsPerOwner))
-	if r.Float64() < sharedPrefix {
-		shared = min(1+int(doc%maxSharedBlock), len(chain))
+	doc := uint64(customer)<<8 | uint64(r.IntN(docsPerCustomer))
+	if r.Float64() < sharedPrefixShare {
+		shared = min(1+int(doc%maxSharedBlocks), len(chain))
 	}
 	for i := range chain {
 		if i < shared {
@@ -198,7 +200,7 @@
 	return chain
 }
 
-// engineRequest is what an engine gets for a start.
+// engineRequest builds the engine request for a start action.
 func (o *Outcome) engineRequest(a dispatch.Start, id string) enginecore.Request {
 	req := enginecore.Request{
 		ID: id, Attempt: a.Attempt, Priority: a.Priority,
--- a/serve/relay/load.go
+++ b/serve/relay/load.go
@@ -10,7 +10,7 @@
 type placedLoad struct {
 	loads *loads.Loads
 	plan  spread.Plan
-	// prefillEnded tells that the first event arrived, or never will.
+	// prefillEnded is set once the first event arrived or the attempt ended.
 	prefillEnded bool
 }
 
@@ -19,10 +19,10 @@
 		return
 	}
 	p.prefillEnded = true
-	p.loads.FirstEvent(p.plan)
+	p.loads.EndPrefill(p.plan)
 }
 
 func (p *placedLoad) end() {
 	p.firstEvent()
-	p.loads.End(p.plan)
+	p.loads.EndDecode(p.plan)
 }
